--- a/rowanmast/addresses/connector.py
+++ b/rowanmast/addresses/connector.py
@@ -12,12 +12,12 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from rowanmast.addresses.memory import AddressMemory, Failure, Standing
-from rowanmast.addresses.order import Endpoint, Family, Preference, arrange
-from rowanmast.addresses.race import STAGGER_US, Race, stagger
+from rowanmast.addresses.history import AddressHistory, AddressState, ConnectFailure
+from rowanmast.addresses.order import Endpoint, Family, Preference, order_endpoints
+from rowanmast.addresses.race import ATTEMPT_DELAY_US, Race, attempt_delay
 
 Clock = Callable[[], int]
-Factory = Callable[[], asyncio.Protocol]
+ProtocolFactory = Callable[[], asyncio.Protocol]
 
 log = logging.getLogger(__name__)
 
@@ -38,40 +38,44 @@
         self.exchange = exchange
         self.endpoints = list(endpoints)
         self.preference = preference
-        self.memory = AddressMemory(random)
+        self.history = AddressHistory(random)
         self.clock = clock
-        self.within_s = within_s
+        self.connect_timeout_s = within_s
 
-    def order(self, now: int) -> list[Endpoint]:
+    def candidates(self, now: int) -> list[Endpoint]:
         """Those to try now: the shut ones are left out, unless all are; then the next to be asked is tried.
 
         So a switch that comes back is found as soon as with one address, however long the pauses are.
         """
-        usable = [one for one in self.endpoints if self.memory.standing(now, one) is not Standing.SHUT]
+        usable = [
+            one for one in self.endpoints if self.history.state(now, one) is not AddressState.BACKING_OFF
+        ]
         if not usable:
-            usable = [min(self.endpoints, key=lambda one: self.memory.of(one).shut_until)]
-        proven = [one for one in usable if self.memory.standing(now, one) is Standing.OPEN]
-        return arrange(usable, self.preference, lambda one: one in proven, self.memory.cost)
+            usable = [min(self.endpoints, key=lambda one: self.history.record_of(one).retry_at)]
+        proven = [one for one in usable if self.history.state(now, one) is AddressState.AVAILABLE]
+        return order_endpoints(usable, self.preference, lambda one: one in proven, self.history.cost)
 
-    async def connect(self, factory: Factory) -> Endpoint:
+    async def connect(self, factory: ProtocolFactory) -> Endpoint:
         """Makes one connection with `factory` and says to which address.
 
         Raises ConnectionRefusedError only if every address of the switch refused, which proves that nothing
         runs there; else TimeoutError or another OSError.
         """
         begun = self.clock()
-        order = self.order(begun)
-        first = self.memory.known.get(order[0])
-        race = Race(order, begun, stagger(first.smoothed_us) if first is not None else STAGGER_US)
+        order = self.candidates(begun)
+        first = self.history.records.get(order[0])
+        race = Race(
+            order, begun, attempt_delay(first.smoothed_connect_us) if first is not None else ATTEMPT_DELAY_US
+        )
         running: dict[asyncio.Task[socket.socket], tuple[Endpoint, int]] = {}
-        failures: list[Failure] = []
+        failures: list[ConnectFailure] = []
         try:
-            while not race.over:
-                while (endpoint := race.due(self.clock())) is not None:
-                    self.memory.begin(self.clock(), endpoint)
-                    task = asyncio.ensure_future(self.reach(endpoint))
+            while not race.finished:
+                while (endpoint := race.start_next(self.clock())) is not None:
+                    self.history.try_start(self.clock(), endpoint)
+                    task = asyncio.ensure_future(self.connect_socket(endpoint))
                     running[task] = (endpoint, self.clock())
-                due = race.next_due()
+                due = race.next_start()
                 wait = None if due is None else max(due - self.clock(), 0) / 1e6
                 done, _ = await asyncio.wait(running, timeout=wait, return_when=asyncio.FIRST_COMPLETED)
                 for task in done:
@@ -79,30 +83,32 @@
                     error = task.exception()
                     if error is None and race.winner is None:
                         race.won(endpoint)
-                        self.memory.connected(endpoint, self.clock() - since)
-                        await self.adopt(task.result(), endpoint, factory)
+                        self.history.connected(endpoint, self.clock() - since)
+                        await self.attach_protocol(task.result(), endpoint, factory)
                     elif error is None:
                         task.result().close()
                     elif isinstance(error, OSError):
-                        failures.append(self.note(endpoint, error))
+                        failures.append(self.record_failure(endpoint, error))
                         race.failed(self.clock(), endpoint)
                     else:
                         raise error
         finally:
             for task, (endpoint, since) in running.items():
-                if race.winner is not None and self.clock() - since >= race.stagger_us:
-                    self.memory.failed(self.clock(), endpoint, Failure.TIMED_OUT)  # one that began later won
+                if race.winner is not None and self.clock() - since >= race.attempt_delay_us:
+                    self.history.failed(
+                        self.clock(), endpoint, ConnectFailure.TIMED_OUT
+                    )  # one that began later won
                 else:
-                    self.memory.abandoned(endpoint)
+                    self.history.abandoned(endpoint)
                 task.cancel()
-                task.add_done_callback(close_result)
+                task.add_done_callback(close_late_socket)
         if race.winner is not None:
             return race.winner
-        if len(failures) == len(self.endpoints) and set(failures) == {Failure.REFUSED}:
+        if len(failures) == len(self.endpoints) and set(failures) == {ConnectFailure.REFUSED}:
             raise ConnectionRefusedError(f"every address of {self.exchange} refused")
         raise TimeoutError(f"no address of {self.exchange} connects")
 
-    async def reach(self, endpoint: Endpoint) -> socket.socket:
+    async def connect_socket(self, endpoint: Endpoint) -> socket.socket:
         """A connected socket. Raises OSError; a timeout is one."""
         loop = asyncio.get_running_loop()
         if endpoint.family is Family.UNIX:
@@ -113,14 +119,16 @@
             where = socket_address(endpoint)  # type: ignore[assignment]
         try:
             made.setblocking(False)
-            async with asyncio.timeout(self.within_s):
+            async with asyncio.timeout(self.connect_timeout_s):
                 await loop.sock_connect(made, where)
         except BaseException:
             made.close()
             raise
         return made
 
-    async def adopt(self, made: socket.socket, endpoint: Endpoint, factory: Factory) -> None:
+    async def attach_protocol(
+        self, made: socket.socket, endpoint: Endpoint, factory: ProtocolFactory
+    ) -> None:
         loop = asyncio.get_running_loop()
         try:
             if endpoint.family is Family.UNIX:
@@ -131,19 +139,19 @@
             made.close()
             raise
 
-    def note(self, endpoint: Endpoint, error: OSError) -> Failure:
-        how = Failure.UNREACHED
+    def record_failure(self, endpoint: Endpoint, error: OSError) -> ConnectFailure:
+        how = ConnectFailure.UNREACHED
         if isinstance(error, ConnectionRefusedError | FileNotFoundError):
-            how = Failure.REFUSED  # no socket file is a proof as well that nothing listens there
+            how = ConnectFailure.REFUSED  # no socket file is a proof as well that nothing listens there
         elif isinstance(error, TimeoutError):
-            how = Failure.TIMED_OUT
-        self.memory.failed(self.clock(), endpoint, how)
+            how = ConnectFailure.TIMED_OUT
+        self.history.failed(self.clock(), endpoint, how)
         log.info("address_failed", extra={"exchange": self.exchange, "address": endpoint, "why": how.value})
         return how
 
-    def broke(self, endpoint: Endpoint) -> None:
+    def connection_reset(self, endpoint: Endpoint) -> None:
         """A connection there ended before it brought anything."""
-        self.memory.failed(self.clock(), endpoint, Failure.RESET)
+        self.history.failed(self.clock(), endpoint, ConnectFailure.RESET)
 
 
 def socket_address(endpoint: Endpoint) -> tuple[str, int] | tuple[str, int, int, int]:
@@ -155,7 +163,7 @@
     return endpoint.host, endpoint.port, 0, number
 
 
-def close_result(task: asyncio.Task[socket.socket]) -> None:
+def close_late_socket(task: asyncio.Task[socket.socket]) -> None:
     """An attempt that connected just as it was given up."""
     if not task.cancelled() and task.exception() is None:
         task.result().close()
--- a/rowanmast/addresses/order.py
+++ b/rowanmast/addresses/order.py
@@ -12,9 +12,9 @@
 from enum import Enum
 from ipaddress import AddressValueError, IPv4Address, IPv6Address
 
-MAX_PATH = 107  # bytes of a Unix socket's path that Linux takes (unix(7))
-MOST = 16  # addresses of one switch that are kept: more are of no use, and come from outside
-UNIX = "unix:"
+MAX_UNIX_PATH_BYTES = 107  # bytes of a Unix socket's path that Linux takes (unix(7))
+MAX_ADDRESSES = 16  # addresses of one switch that are kept: more are of no use, and come from outside
+UNIX_PREFIX = "unix:"
 
 
 class EndpointError(ValueError):
@@ -38,7 +38,7 @@
 
     def __str__(self) -> str:
         if self.family is Family.UNIX:
-            return UNIX + self.host
+            return UNIX_PREFIX + self.host
         if self.family is Family.IP6:
             zone = f"%{self.scope}" if self.scope else ""
             return f"[{self.host}{zone}]:{self.port}"
@@ -47,10 +47,12 @@
 
 def read_endpoint(text: str) -> Endpoint:
     """An address such as 10.1.0.9:2905, [fe80::1%eth0]:2905 or unix:/run/s.sock. Raises EndpointError."""
-    if text.startswith(UNIX):
-        path = text.removeprefix(UNIX)
-        if not path.startswith("/") or "\0" in path or len(path.encode()) > MAX_PATH:
-            raise EndpointError(f"{text!r}: give unix: and an absolute path of up to {MAX_PATH} bytes")
+    if text.startswith(UNIX_PREFIX):
+        path = text.removeprefix(UNIX_PREFIX)
+        if not path.startswith("/") or "\0" in path or len(path.encode()) > MAX_UNIX_PATH_BYTES:
+            raise EndpointError(
+                f"{text!r}: give unix: and an absolute path of up to {MAX_UNIX_PATH_BYTES} bytes"
+            )
         return Endpoint(Family.UNIX, path)
     host, colon, digits = text.rpartition(":")
     if not (colon and digits.isascii() and digits.isdigit() and 1 <= int(digits[:6]) <= 65535):
@@ -95,7 +97,7 @@
     return 2 if address.is_private else 3
 
 
-def arrange(
+def order_endpoints(
     endpoints: Iterable[Endpoint],
     preference: Preference,
     usable: Callable[[Endpoint], bool] = lambda endpoint: True,
@@ -107,7 +109,7 @@
     is remembered, in any unit: within a family and a scope, the lower goes first. Else the order given stays
     (rule 10).
     """
-    known = [one for one in dict.fromkeys(endpoints) if one.family in preference.families][:MOST]
+    known = [one for one in dict.fromkeys(endpoints) if one.family in preference.families][:MAX_ADDRESSES]
     good = [one for one in known if usable(one)]
     poor = [one for one in known if one not in good]
     return [*interleave(good, preference, cost), *interleave(poor, preference, cost)]
--- a/rowanmast/app/daemon.py
+++ b/rowanmast/app/daemon.py
@@ -14,19 +14,25 @@
 
 from rowanmast import vrrp
 from rowanmast.addresses.order import Endpoint, Preference
-from rowanmast.app.parts import AddressedLinks, IaxPart, SipPart
+from rowanmast.app.components import IaxComponent, MultiAddressLinks, SipComponent
 from rowanmast.app.router import Router
 from rowanmast.config import Config, ConfigError, IaxConfig, read_config
 from rowanmast.iax2.front import IaxFront
 from rowanmast.net import logs
-from rowanmast.net.callers import Callers
+from rowanmast.net.callers import SipFront
 from rowanmast.net.changelog import Reader
-from rowanmast.net.turn import now_us
+from rowanmast.net.input_queue import now_us
 
 if TYPE_CHECKING:
     from rowanmast.options.reader import Options
 
-FIXED = ("name", "listen", "sockets", "settings", "connect_s")  # in the configuration, until a restart
+RESTART_ONLY_FIELDS = (
+    "name",
+    "listen",
+    "sockets",
+    "settings",
+    "connect_s",
+)  # in the configuration, until a restart
 
 log = logging.getLogger("rowanmast")
 
@@ -44,15 +50,15 @@
         preference: Preference | None = None,
     ) -> None:
         """`addresses` are those of switches that have some beside the change log's, by the switch's name."""
-        self.callers = Callers(self, config.sockets // 2, now_us)
-        super().__init__(config, reader, loop, heir=self.callers)
+        self.callers = SipFront(self, config.sockets // 2, now_us)
+        super().__init__(config, reader, loop, orphan_front=self.callers)
         if addresses:
-            self.use(AddressedLinks(self, addresses, preference or Preference()).make_link)
-        self.iax = None if iax is None else IaxPart(self, iax)
+            self.add_link_factory(MultiAddressLinks(self, addresses, preference or Preference()).make_link)
+        self.iax = None if iax is None else IaxComponent(self, iax)
         if self.iax is not None:
-            self.add(self.iax)
-            self.use(self.iax.make_link)
-        self.add(SipPart(self.callers, config.listen))
+            self.add_components(self.iax)
+            self.add_link_factory(self.iax.make_link)
+        self.add_components(SipComponent(self.callers, config.listen))
 
     @property
     def pair(self) -> vrrp.Endpoint | None:
@@ -62,15 +68,15 @@
     def iax_front(self) -> IaxFront | None:
         return None if self.iax is None else self.iax.front
 
-    def takes_iax(self) -> bool:
+    def accepts_iax_calls(self) -> bool:
         """Whether new IAX2 calls are taken now."""
-        return self.iax is not None and self.iax.takes_new()
+        return self.iax is not None and self.iax.accepts_calls()
 
     async def open(self) -> None:
         await super().open()
         log.info("ready", extra={"listen": "{}:{}".format(*self.config.listen)})
 
-    def mind_signals(self) -> None:
+    def install_signal_handlers(self) -> None:
         for name in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(name, self.stop.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
@@ -82,11 +88,13 @@
         except ConfigError as error:
             log.warning("bad_configuration", extra={"why": error})
             return
-        changed = [name for name in FIXED if getattr(config, name) != getattr(self.config, name)]
+        changed = [
+            name for name in RESTART_ONLY_FIELDS if getattr(config, name) != getattr(self.config, name)
+        ]
         if changed:
             log.warning("restart_needed", extra={"changed": ",".join(changed)})
         log.info("reloaded", extra={"changelog": "{}:{}".format(*config.changelog)})
-        self.changes.turn_to(config.changelog)
+        self.change_log.change_address(config.changelog)
 
 
 async def serve(config: Config, options: Options | None, reader: Reader) -> None:
@@ -95,11 +103,11 @@
         daemon = Daemon(config, None, reader, loop)
     else:
         daemon = Daemon(config, options.iax, reader, loop, options.addresses, options.preference)
-    daemon.mind_signals()
+    daemon.install_signal_handlers()
     await daemon.run()
 
 
-def read_own_settings(path: str | None) -> Options | None:
+def read_router_settings(path: str | None) -> Options | None:
     """Our own settings, where a file is named; the library that reads them is loaded only then."""
     if not path:
         return None
@@ -113,11 +121,11 @@
     reader = Reader()
     try:
         config = read_config(config_path, reader)
-        options = read_own_settings(settings_path)
+        options = read_router_settings(settings_path)
     except ConfigError as error:
         print(f"rowanmast: {error}", file=sys.stderr)
         return 1
-    logs.set_up(config.name)
+    logs.configure_logging(config.name)
     try:
         uvloop.run(serve(config, options, reader))
     except OSError as error:
--- a/rowanmast/cli/check.py
+++ b/rowanmast/cli/check.py
@@ -21,18 +21,18 @@
     wrong = 0
     for name in files:
         try:
-            typer.echo(f"{name}: {describe(name)}")
+            typer.echo(f"{name}: {summarize(name)}")
         except ConfigError as error:
             wrong += 1
             typer.echo(str(error), err=True)
     raise typer.Exit(1 if wrong else 0)
 
 
-def describe(name: str) -> str:
+def summarize(name: str) -> str:
     """What a file says, in a few words. Raises ConfigError."""
     if name.endswith(".json"):
         config = read_config(name, Reader())
-        switches = sum(len(change.listed.entries) for change in config.known)
+        switches = sum(len(change.exchange_list.entries) for change in config.known)
         classes = ", ".join(config.classes)
         return f"fit: router {config.name}, classes {classes}, {switches} switches known"
     options = read_options(name)
--- a/rowanmast/cli/demo.py
+++ b/rowanmast/cli/demo.py
@@ -11,8 +11,8 @@
 from rich.table import Table
 from rich.text import Text
 
-from rowanmast.lab.demo import Plan, Result, show
-from rowanmast.lab.town import Counts
+from rowanmast.lab.demo import DemoPlan, DemoResult, run_demo
+from rowanmast.lab.simulated import StationCounts
 
 
 def demo(
@@ -24,10 +24,10 @@
 ) -> None:
     """Place calls through a router on loopback and print what became of them."""
     console = Console()
-    plan = Plan(seconds=seconds, rate=rate, switches=switches, circuits=circuits, seed=seed)
+    plan = DemoPlan(seconds=seconds, rate=rate, switches=switches, circuits=circuits, seed=seed)
     with Live(Text("starting"), console=console, refresh_per_second=4, transient=True) as live:
 
-        def progress(past: float, counts: Counts) -> None:
+        def progress(past: float, counts: StationCounts) -> None:
             live.update(
                 Text(
                     f"{past:5.1f} s  offered {counts.offered}  stood {counts.stood}  "
@@ -35,23 +35,25 @@
                 )
             )
 
-        result = uvloop.run(show(plan, progress))
-    console.print(tables(result))
+        result = uvloop.run(run_demo(plan, progress))
+    console.print(result_tables(result))
     counts = result.counts
     answered = counts.stood + counts.refused + counts.failed
     if answered != counts.offered or counts.released != counts.stood:
-        console.print(f"lost: {counts.lost}, not released: {counts.stood - counts.released}", style="red")
+        console.print(
+            f"lost: {counts.unanswered}, not released: {counts.stood - counts.released}", style="red"
+        )
         raise typer.Exit(1)
 
 
-def tables(result: Result) -> Group:
+def result_tables(result: DemoResult) -> Group:
     """The outcome of all calls, and what each switch took."""
     counts = result.counts
     calls = Table(title="Calls")
     for head in ("offered", "stood", "refused", "failed", "transited", "mean ms", "p50 ms", "p99 ms"):
         calls.add_column(head, justify="right")
-    figures = (counts.offered, counts.stood, counts.refused, counts.failed, result.transited)
-    delays = (result.mean_ms(), result.delay_ms(0.5), result.delay_ms(0.99))
+    figures = (counts.offered, counts.stood, counts.refused, counts.failed, result.tandem_calls)
+    delays = (result.mean_ms(), result.percentile_ms(0.5), result.percentile_ms(0.99))
     calls.add_row(*map(str, figures), *(f"{delay:.1f}" for delay in delays))
     switches = Table(title="Switches")
     for head in ("switch", "circuits", "taken", "passed on"):
--- a/rowanmast/config.py
+++ b/rowanmast/config.py
@@ -9,8 +9,8 @@
 
 from rowanmast import interface as api
 from rowanmast import vrrp
-from rowanmast.net.changelog import Change, ListError, Reader, read_address
-from rowanmast.settings import index_names, number, read_settings, section
+from rowanmast.net.changelog import Change, ChangeLogError, Reader, parse_address
+from rowanmast.settings import index_by_name, optional_number, read_settings, section
 
 
 class ConfigError(Exception):
@@ -55,18 +55,18 @@
         return Config(
             path=source,
             name=str(config["name"]),
-            listen=read_address(config["listen"]),
+            listen=parse_address(config["listen"]),
             seed=int(config["seed"], 16),
             sockets=int(config["limits"]["sockets"]),
-            changelog=read_address(config["changelog"]),
+            changelog=parse_address(config["changelog"]),
             known=reader.read(config["known"]),
             settings=settings,
-            classes=index_names(info["services"]),
-            connect_s=(number(section(info, "limits").get("connect_timeout_ns")) or 5e8) / 1e9,
+            classes=index_by_name(info["services"]),
+            connect_s=(optional_number(section(info, "limits").get("connect_timeout_ns")) or 5e8) / 1e9,
         )
     except KeyError as error:
         raise ConfigError(f"{source}: {error} is missing") from None
-    except (ListError, ValueError, TypeError, AttributeError) as error:
+    except (ChangeLogError, ValueError, TypeError, AttributeError) as error:
         raise ConfigError(f"{source}: {error}") from None
 
 
--- a/rowanmast/core/ports.py
+++ b/rowanmast/core/ports.py
@@ -9,7 +9,7 @@
 
 from rowanmast import interface as api
 
-NO_REPORT = api.Report()
+NO_REPORT = api.LoadReport()
 
 
 class Failure(Enum):
@@ -36,11 +36,11 @@
 class Front(Protocol):
     """Where calls come from."""
 
-    lasting: bool  # calls stand on when the router ends, and its next run may release them
+    survives_restart: bool  # calls stand on when the router ends, and its next run may release them
 
     def answer(self, call: str, text: str) -> None: ...
 
-    def refuse(self, call: str, stay_away_us: int) -> None: ...
+    def refuse(self, call: str, retry_after_us: int) -> None: ...
 
     def fail(self, call: str, why: Failure) -> None: ...
 
@@ -57,35 +57,35 @@
     klass: str
     key: str
     text: str
-    sent: int
-    due: int
+    sent_at: int
+    deadline: int
 
 
 class SwitchLink(Protocol):
-    """The way to one switch. `call_off` takes back a set-up, `release` ends a call that stands."""
+    """The way to one switch. `cancel` takes back a set-up, `release` ends a call that stands."""
 
     @property
-    def lasting(self) -> bool:
+    def survives_restart(self) -> bool:
         """As with a front; not while the switch is silent, as the next run would not hear of it either."""
 
     def set_up(self, attempt: Attempt) -> None: ...
 
-    def call_off(self, call: str) -> None: ...
+    def cancel(self, call: str) -> None: ...
 
     def release(self, call: str, cause: int) -> None: ...
 
     def probe(self) -> None: ...
 
 
-class NoLink:
+class NullLink:
     """In place of the link to a switch that is gone: there is nothing to tell there any more."""
 
-    lasting = False
+    survives_restart = False
 
     def set_up(self, attempt: Attempt) -> None:
         raise LookupError(f"{attempt.exchange} is gone")
 
-    def call_off(self, call: str) -> None:
+    def cancel(self, call: str) -> None:
         pass
 
     def release(self, call: str, cause: int) -> None:
@@ -98,10 +98,10 @@
 Links = Mapping[str, SwitchLink]
 
 
-class Gate(Protocol):
+class SendGate(Protocol):
     """Asked when a set-up's bytes are about to leave: the ledger."""
 
-    def may_leave(self, attempt: Attempt) -> bool: ...
+    def may_send(self, attempt: Attempt) -> bool: ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,7 +125,7 @@
     klass: str
     key: str
     text: str
-    left_us: int
+    remaining_us: int
     route: Route
 
 
@@ -155,7 +155,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptOver:
+class AttemptEnded:
     """A set-up ended without an answer."""
 
     exchange: str
@@ -163,17 +163,17 @@
     attempt: int
     outcome: api.Outcome
     cause: api.Cause | None = None
-    report: api.Report = NO_REPORT
+    report: api.LoadReport = NO_REPORT
 
 
 @dataclass(frozen=True, slots=True)
-class CallOver:
+class CallEnded:
     """A call that stood is over: DONE, or CUT. By the switch's word, or as its link can't believe in it."""
 
     exchange: str
     call: str
     outcome: api.Outcome
-    report: api.Report = NO_REPORT
+    report: api.LoadReport = NO_REPORT
     why: Ending = Ending.SWITCH_RELEASED
 
 
@@ -185,7 +185,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndOwed:
+class EndUnanswered:
     """The router is about to end: every call without an answer is answered now."""
 
 
@@ -194,12 +194,12 @@
     | Cancelled
     | Released
     | Answered
-    | AttemptOver
-    | CallOver
+    | AttemptEnded
+    | CallEnded
     | SwitchDown
-    | EndOwed
+    | EndUnanswered
     | api.ExchangeList
-    | api.Reported
+    | api.LoadReported
 )
 
 
--- a/rowanmast/core/totals.py
+++ b/rowanmast/core/totals.py
@@ -10,14 +10,14 @@
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.reported: Counter[str] = Counter()  # as they were when `changes` was last asked
+        self.last_reported: Counter[str] = Counter()  # as they were when `changes` was last asked
 
     def add(self, name: str) -> None:
         self.counts[name] += 1
 
-    def changes(self) -> dict[str, int]:
+    def changed_totals(self) -> dict[str, int]:
         """The totals, or nothing if they are as they were at the last report."""
-        if self.counts == self.reported:
+        if self.counts == self.last_reported:
             return {}
-        self.reported = self.counts.copy()
+        self.last_reported = self.counts.copy()
         return dict(sorted(self.counts.items()))
--- a/rowanmast/embed/admission.py
+++ b/rowanmast/embed/admission.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-BACK_OFF_US = 1_000_000  # stated to a call that finds no room
+REFUSAL_RETRY_AFTER_US = 1_000_000  # stated to a call that finds no room
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,81 +23,83 @@
     collect_us: int = 5_000_000  # for which an outcome waits for its host to take it
 
 
-class Stage(Enum):
+class CallState(Enum):
     """Where a call of the host is."""
 
     OPEN = "open"  # its final answer is still owed
-    OFFERED = "offered"  # it stands, but the host has not taken the outcome yet
-    HELD = "held"  # it stands, and the host knows
+    UNCOLLECTED = "uncollected"  # it stands, but the host has not taken the outcome yet
+    COLLECTED = "collected"  # it stands, and the host knows
 
 
-class Verdict(Enum):
+class AdmissionResult(Enum):
     """Whether a call is taken."""
 
-    TAKEN = "taken"
-    NO_ROOM = "no room"
+    ADMITTED = "admitted"
+    AT_LIMIT = "at limit"
     CLOSING = "closing"
 
 
-class Admission:
+class AdmissionControl:
     """The account of one host's calls."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
-        self.stages: dict[str, Stage] = {}
-        self.open = 0
-        self.offered: OrderedDict[str, int] = OrderedDict()  # when each uncollected outcome was given
+        self.states: dict[str, CallState] = {}
+        self.open_count = 0
+        self.uncollected_since: OrderedDict[str, int] = (
+            OrderedDict()
+        )  # when each uncollected outcome was given
         self.closing = False
 
     @property
-    def standing(self) -> int:
-        return len(self.stages) - self.open
+    def standing_count(self) -> int:
+        return len(self.states) - self.open_count
 
-    def ask(self, call: str) -> Verdict:
+    def admit(self, call: str) -> AdmissionResult:
         """Takes a new call, or says why not. A refusal costs no memory."""
         if self.closing:
-            return Verdict.CLOSING
-        if self.open >= self.bounds.max_open or self.standing >= self.bounds.max_standing:
-            return Verdict.NO_ROOM
-        self.stages[call] = Stage.OPEN
-        self.open += 1
-        return Verdict.TAKEN
-
-    def stands(self, call: str, now: int) -> bool:
+            return AdmissionResult.CLOSING
+        if self.open_count >= self.bounds.max_open or self.standing_count >= self.bounds.max_standing:
+            return AdmissionResult.AT_LIMIT
+        self.states[call] = CallState.OPEN
+        self.open_count += 1
+        return AdmissionResult.ADMITTED
+
+    def mark_standing(self, call: str, now: int) -> bool:
         """The call stands from now on; False if the host has given it up, so that it must be released."""
-        if self.stages.get(call) is not Stage.OPEN:
+        if self.states.get(call) is not CallState.OPEN:
             return False
-        self.open -= 1
-        self.stages[call] = Stage.OFFERED
-        self.offered[call] = now
+        self.open_count -= 1
+        self.states[call] = CallState.UNCOLLECTED
+        self.uncollected_since[call] = now
         return True
 
-    def collected(self, call: str) -> bool:
+    def mark_collected(self, call: str) -> bool:
         """The host has taken the outcome; False if the call is over by now."""
-        if self.stages.get(call) is not Stage.OFFERED:
+        if self.states.get(call) is not CallState.UNCOLLECTED:
             return False
-        self.stages[call] = Stage.HELD
-        del self.offered[call]
+        self.states[call] = CallState.COLLECTED
+        del self.uncollected_since[call]
         return True
 
-    def over(self, call: str) -> Stage | None:
+    def remove(self, call: str) -> CallState | None:
         """The call has ended, whoever ended it: the stage in which it did, or None if that is known."""
-        stage = self.stages.pop(call, None)
-        if stage is Stage.OPEN:
-            self.open -= 1
-        self.offered.pop(call, None)
+        stage = self.states.pop(call, None)
+        if stage is CallState.OPEN:
+            self.open_count -= 1
+        self.uncollected_since.pop(call, None)
         return stage
 
     def clear(self) -> None:
         """Forgets every call: the router has ended."""
-        self.stages.clear()
-        self.offered.clear()
-        self.open = 0
+        self.states.clear()
+        self.uncollected_since.clear()
+        self.open_count = 0
 
-    def uncollected(self, now: int) -> list[str]:
+    def expired_outcomes(self, now: int) -> list[str]:
         """The calls whose outcome has waited too long, oldest first; the caller ends them."""
         late: list[str] = []
-        for call, since in self.offered.items():
+        for call, since in self.uncollected_since.items():
             if now - since < self.bounds.collect_us:
                 break
             late.append(call)
--- a/rowanmast/embed/calls.py
+++ b/rowanmast/embed/calls.py
@@ -17,47 +17,47 @@
 Value = TypeVar("Value")
 
 
-class Desk(Protocol):
+class CallControl(Protocol):
     """What a host's side of a call says to the router; every word may come from any thread."""
 
-    def collected(self, call: str) -> None:
+    def outcome_collected(self, call: str) -> None:
         """The host has taken the outcome."""
 
-    def end(self, call: str, cause: int) -> None:
+    def end_call(self, call: str, cause: int) -> None:
         """The host takes the call back, or releases it if it stands."""
 
-    def dropped(self, call: str) -> None:
+    def reference_lost(self, call: str) -> None:
         """The host has lost its last reference to a call that stands."""
 
 
-class Latch(Generic[Value]):
+class SharedFuture(Generic[Value]):
     """A value that comes once, for waiting threads and loops alike."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.value: Value | None = None
-        self.door: threading.Event | None = None  # made only if a thread waits
+        self.event: threading.Event | None = None  # made only if a thread waits
         self.waiters: list[tuple[asyncio.AbstractEventLoop, asyncio.Future[Value]]] = []
 
-    def set(self, value: Value) -> bool:
+    def set_result(self, value: Value) -> bool:
         """Wakes all that wait. False if a loop that waits is closed, so that nobody hears it there."""
         with self.lock:
             if self.value is not None:
                 return True
             self.value = value
-            door, waiters = self.door, self.waiters
+            door, waiters = self.event, self.waiters
             self.waiters = []
         if door is not None:
             door.set()
         heard = True
         for loop, future in waiters:
             try:
-                loop.call_soon_threadsafe(settle, future, value)
+                loop.call_soon_threadsafe(set_if_pending, future, value)
             except RuntimeError:  # the loop was closed under us
                 heard = False
         return heard
 
-    def settle_alone(self, value: Value) -> None:
+    def set_after_fork(self, value: Value) -> None:
         """The same in a forked child, where only the thread that forked is left."""
         self.lock = threading.Lock()
         self.waiters = []
@@ -69,13 +69,13 @@
         with self.lock:
             if self.value is not None:
                 return self.value
-            if self.door is None:
-                self.door = threading.Event()
-            door = self.door
+            if self.event is None:
+                self.event = threading.Event()
+            door = self.event
         door.wait(timeout_s)
         return self.value
 
-    async def come(self) -> Value:
+    async def wait_async(self) -> Value:
         """Waits on the running loop."""
         loop = asyncio.get_running_loop()
         with self.lock:
@@ -90,7 +90,7 @@
                 self.waiters = [waiter for waiter in self.waiters if waiter[1] is not future]
 
 
-def settle(future: asyncio.Future[Value], value: Value) -> None:
+def set_if_pending(future: asyncio.Future[Value], value: Value) -> None:
     if not future.done():
         future.set_result(value)
 
@@ -98,32 +98,32 @@
 class Ticket:
     """A call that was taken, until its one final outcome."""
 
-    def __init__(self, desk: Desk, call: str) -> None:
-        self.desk = desk
+    def __init__(self, control: CallControl, call: str) -> None:
+        self.control = control
         self.call = call
-        self.latch: Latch[Outcome] = Latch()
+        self.future: SharedFuture[Outcome] = SharedFuture()
 
     def result(self, timeout_s: float | None = None) -> Outcome:
         """Blocks until the outcome is there. Raises TimeoutError after `timeout_s`; the call goes on then."""
-        outcome = self.latch.wait(timeout_s)
+        outcome = self.future.wait(timeout_s)
         if outcome is None:
             raise TimeoutError(f"no outcome within {timeout_s} s")
-        self.desk.collected(self.call)
+        self.control.outcome_collected(self.call)
         return outcome
 
     async def outcome(self) -> Outcome:
         """The outcome; cancelling the task takes the call back, or releases it if it stands by then."""
         try:
-            outcome = await self.latch.come()
+            outcome = await self.future.wait_async()
         except BaseException:  # cancelled, or the task is destroyed with its loop
             self.cancel()
             raise
-        self.desk.collected(self.call)
+        self.control.outcome_collected(self.call)
         return outcome
 
     def cancel(self) -> None:
         """Takes the call back. It still gets its outcome, which nobody needs to collect."""
-        self.desk.end(self.call, NORMAL_CLEARING)
+        self.control.end_call(self.call, NORMAL_CLEARING)
 
 
 class StandingCall:
@@ -132,34 +132,36 @@
     If the last reference to it is lost while it stands, it is released and a warning is logged.
     """
 
-    def __init__(self, desk: Desk, call: str, text: str, ended: Latch[Ending]) -> None:
-        self.desk = desk
+    def __init__(
+        self, control: CallControl, call: str, text: str, ending_future: SharedFuture[Ending]
+    ) -> None:
+        self.control = control
         self.id = call
         self.text = text  # the description that the switch gave
-        self.ended = ended
-        self.finalizer = weakref.finalize(self, desk.dropped, call)
+        self.ending_future = ending_future
+        self.finalizer = weakref.finalize(self, control.reference_lost, call)
         self.finalizer.atexit = False  # the router's own end at exit releases all that stand
 
     @property
     def ending(self) -> Ending | None:
         """How the call is over, or None while it stands."""
-        return self.ended.value
+        return self.ending_future.value
 
     def release(self, cause: int = NORMAL_CLEARING) -> None:
         """Ends the call, with a cause of Q.850; does nothing if it is over. Never blocks."""
         if self.finalizer.detach() is not None:
-            self.desk.end(self.id, cause)
+            self.control.end_call(self.id, cause)
 
     def wait(self, timeout_s: float | None = None) -> Ending:
         """Blocks until the call is over. Raises TimeoutError after `timeout_s`; it stands on then."""
-        ending = self.ended.wait(timeout_s)
+        ending = self.ending_future.wait(timeout_s)
         if ending is None:
             raise TimeoutError(f"the call still stands after {timeout_s} s")
         return ending
 
     async def over(self) -> Ending:
         """Waits until the call is over, whoever ends it."""
-        return await self.ended.come()
+        return await self.ending_future.wait_async()
 
     def __enter__(self) -> StandingCall:
         return self
--- a/rowanmast/embed/outcomes.py
+++ b/rowanmast/embed/outcomes.py
@@ -13,9 +13,9 @@
     from rowanmast.embed.calls import StandingCall
 
 MAX_WAIT_S = 3600.0  # nobody waits longer
-MAX_NUMBER = 4096  # characters of the number called
-MAX_TEXT = 12 * 1024  # bytes of the description: with the rest it must fit into a message of 16 KiB
-MAX_FIGURE = 999_999_999  # route figures have nine digits on every wire
+MAX_NUMBER_CHARS = 4096  # characters of the number called
+MAX_TEXT_BYTES = 12 * 1024  # bytes of the description: with the rest it must fit into a message of 16 KiB
+MAX_ROUTE_NUMBER = 999_999_999  # route figures have nine digits on every wire
 
 
 class RowanmastError(Exception):
@@ -62,29 +62,29 @@
     transit: bool = False  # it comes from another switch, `advised`, and may only go to its destination
 
     def __post_init__(self) -> None:
-        if not (isinstance(self.number, str) and 0 < len(self.number) <= MAX_NUMBER):
-            raise RequestError(f"number: give 1 to {MAX_NUMBER} characters")
+        if not (isinstance(self.number, str) and 0 < len(self.number) <= MAX_NUMBER_CHARS):
+            raise RequestError(f"number: give 1 to {MAX_NUMBER_CHARS} characters")
         if not isinstance(self.klass, str) or not self.klass:
             raise RequestError("klass: give the name of a class of call")
-        if not is_figure(self.dest, 0):
+        if not is_route_number(self.dest, 0):
             raise RequestError(f"dest: {self.dest!r} is no switch's number")
         if not (isinstance(self.wait_s, int | float) and 0 < self.wait_s <= MAX_WAIT_S):
             raise RequestError(f"wait_s: {self.wait_s!r} does not lie between 0 and {MAX_WAIT_S:.0f} seconds")
-        if self.width is not None and not is_figure(self.width, 1):
+        if self.width is not None and not is_route_number(self.width, 1):
             raise RequestError(f"width: {self.width!r} is no number of circuits")
-        if self.advised is not None and not is_figure(self.advised, 0):
+        if self.advised is not None and not is_route_number(self.advised, 0):
             raise RequestError(f"advised: {self.advised!r} is no switch's number")
         for field in ("number", "klass", "text"):
             try:
                 length = len(getattr(self, field).encode())
             except (UnicodeEncodeError, AttributeError):
                 raise RequestError(f"{field}: not text that UTF-8 can carry") from None
-            if length > MAX_TEXT:
-                raise RequestError(f"{field}: {length} bytes are over {MAX_TEXT}")
+            if length > MAX_TEXT_BYTES:
+                raise RequestError(f"{field}: {length} bytes are over {MAX_TEXT_BYTES}")
 
 
-def is_figure(value: object, least: int) -> bool:
-    return isinstance(value, int) and not isinstance(value, bool) and least <= value <= MAX_FIGURE
+def is_route_number(value: object, minimum: int) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= MAX_ROUTE_NUMBER
 
 
 @dataclass(frozen=True, slots=True)
--- a/rowanmast/iax2/endpoint.py
+++ b/rowanmast/iax2/endpoint.py
@@ -11,23 +11,23 @@
 from rowanmast.iax2.frames import Elements, Frame, FrameType, Iax
 from rowanmast.iax2.session import Session
 
-SWEEP_S = 0.02
+SWEEP_INTERVAL_S = 0.02
 MAX_LEGS = 4000  # calls beyond which no new one is taken: each costs memory, also one that is refused
-KNOWN = (Iax.NEW, Iax.HANGUP, Iax.REJECT, Iax.ACCEPT, Iax.UNSUPPORT)
+HANDLED_SUBCLASSES = (Iax.NEW, Iax.HANGUP, Iax.REJECT, Iax.ACCEPT, Iax.UNSUPPORT)
 Address = tuple[str, int]
 
 log = logging.getLogger(__name__)
 
 
-class Owner(Protocol):
+class LegListener(Protocol):
     """Who a call's frames are for."""
 
-    def heard(self, frame: Frame) -> None: ...
+    def frame_received(self, frame: Frame) -> None: ...
 
-    def lost(self) -> None:
+    def leg_lost(self) -> None:
         """The other side is dead, forgot the call, or began another under its number."""
 
-    def may_repeat(self) -> bool:
+    def may_retransmit(self) -> bool:
         """Whether a NEW of which nothing was heard may be sent again."""
 
 
@@ -38,165 +38,169 @@
         self.endpoint = endpoint
         self.address = address
         self.session = session
-        self.owner: Owner | None = None
+        self.listener: LegListener | None = None
 
     def send(self, kind: FrameType, subclass: int, elements: Elements = ()) -> None:
         self.session.send(self.endpoint.clock(), kind, subclass, elements)
-        self.endpoint.drain(self)
+        self.endpoint.flush(self)
 
     def end(self, subclass: Iax, elements: Elements = ()) -> None:
         self.session.end(self.endpoint.clock(), subclass, elements)
-        self.endpoint.drain(self)
+        self.endpoint.flush(self)
 
-    def lose(self) -> None:
-        owner, self.owner = self.owner, None
+    def notify_lost(self) -> None:
+        owner, self.listener = self.listener, None
         if owner is not None and self.session.ended_at is None:
-            owner.lost()
+            owner.leg_lost()
 
 
 class Endpoint(asyncio.DatagramProtocol):
     """`invited` is told of each NEW that begins a call, and says who owns it."""
 
-    def __init__(self, clock: Callable[[], int], invited: Callable[[Leg, Frame], Owner]) -> None:
+    def __init__(self, clock: Callable[[], int], on_new: Callable[[Leg, Frame], LegListener]) -> None:
         self.clock = clock
-        self.invited = invited
+        self.on_new = on_new
         self.legs: dict[int, Leg] = {}
-        self.incoming: dict[tuple[Address, int], Leg] = {}  # by the other side's number
-        self.pokes: dict[int, Callable[[], None]] = {}  # who waits for a PONG, by our number
-        self.last_number = 0
+        self.legs_by_remote: dict[tuple[Address, int], Leg] = {}  # by the other side's number
+        self.pending_pokes: dict[int, Callable[[], None]] = {}  # who waits for a PONG, by our number
+        self.last_call_number = 0
         self.transport: asyncio.DatagramTransport | None = None
-        self.timer: asyncio.TimerHandle | None = None
+        self.sweep_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
 
     def error_received(self, exc: Exception) -> None:
         log.info("iax_socket", extra={"why": exc})
 
     # Calls out
 
-    def call(self, address: Address, owner: Owner) -> Leg:
-        leg = Leg(self, address, Session(self.free_number(), self.clock()))
-        leg.owner = owner
-        self.add(leg)
+    def open_leg(self, address: Address, listener: LegListener) -> Leg:
+        leg = Leg(self, address, Session(self.allocate_number(), self.clock()))
+        leg.listener = listener
+        self.add_leg(leg)
         return leg
 
     def poke(self, address: Address, answered: Callable[[], None]) -> int:
         """Asks whether the other side is there; the number serves to forget the question."""
-        number = self.free_number()
-        self.pokes[number] = answered
-        self.emit(Frame(number, 0, 0, 0, 0, FrameType.IAX, Iax.POKE), address)
+        number = self.allocate_number()
+        self.pending_pokes[number] = answered
+        self.transmit(Frame(number, 0, 0, 0, 0, FrameType.IAX, Iax.POKE), address)
         return number
 
-    def free_number(self) -> int:
+    def allocate_number(self) -> int:
         """The next number that no call uses, so that a number rests as long as it can."""
         for step in range(1, frames.MAX_CALL_NUMBER + 1):
-            number = (self.last_number + step - 1) % frames.MAX_CALL_NUMBER + 1
-            if number not in self.legs and number not in self.pokes:
-                self.last_number = number
+            number = (self.last_call_number + step - 1) % frames.MAX_CALL_NUMBER + 1
+            if number not in self.legs and number not in self.pending_pokes:
+                self.last_call_number = number
                 return number
         raise OSError("all IAX2 call numbers are in use")
 
-    def add(self, leg: Leg) -> None:
+    def add_leg(self, leg: Leg) -> None:
         self.legs[leg.session.number] = leg
-        if self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(SWEEP_S, self.sweep)
+        if self.sweep_timer is None:
+            self.sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
 
-    def remove(self, leg: Leg) -> None:
+    def remove_leg(self, leg: Leg) -> None:
         self.legs.pop(leg.session.number, None)
-        key = (leg.address, leg.session.remote)
-        if self.incoming.get(key) is leg:
-            del self.incoming[key]
+        key = (leg.address, leg.session.remote_number)
+        if self.legs_by_remote.get(key) is leg:
+            del self.legs_by_remote[key]
 
     # Frames
 
     def datagram_received(self, data: bytes, address: Address) -> None:
         try:
-            frame = frames.read(data)
-            leg = self.find(frame, address)
+            frame = frames.decode(data)
+            leg = self.find_or_create_leg(frame, address)
         except frames.FrameError as error:
             log.warning("bad_frame", extra={"why": error})
             return
         if leg is None:
             if frame.is_iax(Iax.POKE) and frame.destination == 0:
                 pong = Frame(0, frame.source, frame.timestamp, 0, 1, FrameType.IAX, Iax.PONG)
-                self.emit(pong, address)
-            elif frame.is_iax(Iax.PONG) and frame.destination in self.pokes:
-                self.pokes.pop(frame.destination)()
-            elif frame.counted and frame.source:
-                self.emit(Frame(frame.destination, frame.source, 0, 0, 0, FrameType.IAX, Iax.INVAL), address)
+                self.transmit(pong, address)
+            elif frame.is_iax(Iax.PONG) and frame.destination in self.pending_pokes:
+                self.pending_pokes.pop(frame.destination)()
+            elif frame.is_sequenced and frame.source:
+                self.transmit(
+                    Frame(frame.destination, frame.source, 0, 0, 0, FrameType.IAX, Iax.INVAL), address
+                )
             return
         now = self.clock()
         news = leg.session.receive(now, frame)
-        self.drain(leg)
+        self.flush(leg)
         if news is not None:
-            self.handle(leg, news)
+            self.handle_frame(leg, news)
 
-    def find(self, frame: Frame, address: Address) -> Leg | None:
+    def find_or_create_leg(self, frame: Frame, address: Address) -> Leg | None:
         """The call that the frame belongs to; a NEW that is no repeat begins one."""
         if frame.destination:
             leg = self.legs.get(frame.destination)
             fits = leg is not None and leg.address == address
-            return leg if leg is not None and fits and leg.session.remote in (0, frame.source) else None
-        known = self.incoming.get((address, frame.source))
+            return (
+                leg if leg is not None and fits and leg.session.remote_number in (0, frame.source) else None
+            )
+        known = self.legs_by_remote.get((address, frame.source))
         if not frame.is_iax(Iax.NEW):
             return known
-        first = known.session.first if known is not None else None
+        first = known.session.initial_new if known is not None else None
         if first is not None and (first.timestamp, first.elements) == (frame.timestamp, frame.elements):
             return known
         if known is not None:  # the other side started anew, or has used all its numbers
-            self.remove(known)
-            known.lose()
+            self.remove_leg(known)
+            known.notify_lost()
         if len(self.legs) >= MAX_LEGS:
             return None
         now = self.clock()
-        leg = Leg(self, address, Session(self.free_number(), now, frame.source))
-        leg.session.first = frame
-        self.incoming[address, frame.source] = leg
-        self.add(leg)
+        leg = Leg(self, address, Session(self.allocate_number(), now, frame.source))
+        leg.session.initial_new = frame
+        self.legs_by_remote[address, frame.source] = leg
+        self.add_leg(leg)
         return leg
 
-    def handle(self, leg: Leg, frame: Frame) -> None:
+    def handle_frame(self, leg: Leg, frame: Frame) -> None:
         if frame.is_iax(Iax.INVAL):
-            self.remove(leg)
-            leg.lose()
-        elif frame.is_iax(Iax.NEW) and leg.owner is None and frame is leg.session.first:
-            leg.owner = self.invited(leg, frame)
-        elif frame.kind == FrameType.IAX and frame.subclass not in KNOWN:
+            self.remove_leg(leg)
+            leg.notify_lost()
+        elif frame.is_iax(Iax.NEW) and leg.listener is None and frame is leg.session.initial_new:
+            leg.listener = self.on_new(leg, frame)
+        elif frame.kind == FrameType.IAX and frame.subclass not in HANDLED_SUBCLASSES:
             unknown = ((int(frames.Ie.IAX_UNKNOWN), bytes([frame.subclass])),)
             leg.send(FrameType.IAX, Iax.UNSUPPORT, unknown)
-        elif leg.owner is not None:
-            leg.owner.heard(frame)
+        elif leg.listener is not None:
+            leg.listener.frame_received(frame)
 
-    def drain(self, leg: Leg) -> None:
+    def flush(self, leg: Leg) -> None:
         outbox, leg.session.outbox = leg.session.outbox, []
         for frame in outbox:
-            self.emit(frame, leg.address)
+            self.transmit(frame, leg.address)
 
-    def emit(self, frame: Frame, address: Address) -> None:
+    def transmit(self, frame: Frame, address: Address) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.sendto(frames.write(frame), address)
+            self.transport.sendto(frames.encode(frame), address)
 
     def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
         if self.transport is not None:
             self.transport.close()
 
     def sweep(self) -> None:
         now = self.clock()
         for leg in list(self.legs.values()):
-            unheard = leg.session.remote == 0 and leg.session.ended_at is None
-            barred = unheard and leg.owner is not None and not leg.owner.may_repeat()
-            if barred or not leg.session.expire(now):
-                self.remove(leg)
-                leg.lose()
-            elif leg.session.forgotten(now):
-                self.remove(leg)
-            self.drain(leg)
+            unheard = leg.session.remote_number == 0 and leg.session.ended_at is None
+            barred = unheard and leg.listener is not None and not leg.listener.may_retransmit()
+            if barred or not leg.session.run_timers(now):
+                self.remove_leg(leg)
+                leg.notify_lost()
+            elif leg.session.is_expired(now):
+                self.remove_leg(leg)
+            self.flush(leg)
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(SWEEP_S, self.sweep) if self.legs else None
+        self.sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self.sweep) if self.legs else None
--- a/rowanmast/iax2/frames.py
+++ b/rowanmast/iax2/frames.py
@@ -8,10 +8,10 @@
 from enum import IntEnum
 
 HEADER = struct.Struct("!HHIBBBB")
-MAX_FRAME = 1400  # bytes that pass unfragmented
+MAX_FRAME_BYTES = 1400  # bytes that pass unfragmented
 MAX_CALL_NUMBER = 0x7FFF
-FULL = RETRANSMITTED = 0x8000
-VERSION = 2
+FULL_FRAME_BIT = RETRANSMITTED_BIT = 0x8000
+PROTOCOL_VERSION = 2
 
 
 class FrameType(IntEnum):
@@ -82,7 +82,7 @@
         return self.kind == FrameType.IAX and self.subclass in subclasses
 
     @property
-    def counted(self) -> bool:
+    def is_sequenced(self) -> bool:
         """Whether it takes a sequence number, and so wants to be acknowledged."""
         return not self.is_iax(Iax.ACK, Iax.INVAL, Iax.VNAK)
 
@@ -100,7 +100,7 @@
         data = self.get(element)
         return None if data is None else int.from_bytes(data)
 
-    def again(self) -> Frame:
+    def as_retransmission(self) -> Frame:
         return replace(self, retransmitted=True)
 
 
@@ -114,16 +114,16 @@
     return (*text_elements(Ie.CAUSE, text), (Ie.CAUSECODE, bytes([code & 0x7F])))  # Q.850 has 7 bits
 
 
-def fit(elements: Elements) -> bool:
+def fits_in_frame(elements: Elements) -> bool:
     """Whether they can go into one frame."""
-    return HEADER.size + sum(2 + len(data) for _, data in elements) <= MAX_FRAME
+    return HEADER.size + sum(2 + len(data) for _, data in elements) <= MAX_FRAME_BYTES
 
 
-def write_elements(elements: Iterable[tuple[int, bytes]]) -> bytes:
+def encode_elements(elements: Iterable[tuple[int, bytes]]) -> bytes:
     return b"".join(bytes([number, len(data)]) + data for number, data in elements)
 
 
-def read_elements(data: bytes) -> Elements:
+def decode_elements(data: bytes) -> Elements:
     elements: list[tuple[int, bytes]] = []
     at = 0
     while at < len(data):
@@ -135,26 +135,26 @@
     return tuple(elements)
 
 
-def write(frame: Frame) -> bytes:
+def encode(frame: Frame) -> bytes:
     data = HEADER.pack(
-        FULL | frame.source,
-        (RETRANSMITTED if frame.retransmitted else 0) | frame.destination,
+        FULL_FRAME_BIT | frame.source,
+        (RETRANSMITTED_BIT if frame.retransmitted else 0) | frame.destination,
         frame.timestamp & 0xFFFFFFFF,
         frame.oseqno,
         frame.iseqno,
         frame.kind,
         frame.subclass,
-    ) + write_elements(frame.elements)
-    if len(data) > MAX_FRAME:
-        raise FrameError(f"frame of {len(data)} bytes is over {MAX_FRAME}")
+    ) + encode_elements(frame.elements)
+    if len(data) > MAX_FRAME_BYTES:
+        raise FrameError(f"frame of {len(data)} bytes is over {MAX_FRAME_BYTES}")
     return data
 
 
-def read(data: bytes) -> Frame:
+def decode(data: bytes) -> Frame:
     if len(data) < HEADER.size:
         raise FrameError("shorter than a full frame")
     source, destination, timestamp, oseqno, iseqno, kind, subclass = HEADER.unpack_from(data)
-    if not source & FULL:
+    if not source & FULL_FRAME_BIT:
         raise FrameError("a mini or meta frame")
     if subclass & 0x80:
         raise FrameError("a subclass that is a power of two")
@@ -167,6 +167,6 @@
         iseqno=iseqno,
         kind=kind,
         subclass=subclass,
-        elements=read_elements(data[HEADER.size :]) if signalling else (),
-        retransmitted=bool(destination & RETRANSMITTED),
+        elements=decode_elements(data[HEADER.size :]) if signalling else (),
+        retransmitted=bool(destination & RETRANSMITTED_BIT),
     )
--- a/rowanmast/iax2/front.py
+++ b/rowanmast/iax2/front.py
@@ -11,7 +11,7 @@
 from rowanmast.core.ports import Cancelled, Failure, Inbox, Offer, Released
 from rowanmast.iax2.endpoint import Leg
 from rowanmast.iax2.frames import (
-    VERSION,
+    PROTOCOL_VERSION,
     Control,
     Frame,
     FrameError,
@@ -19,10 +19,10 @@
     Iax,
     Ie,
     cause_elements,
-    fit,
+    fits_in_frame,
     text_elements,
 )
-from rowanmast.routes import read_route
+from rowanmast.routes import parse_route
 
 MAX_SETUP_MS = 3_600_000  # nobody waits longer, and timers take no time without bounds
 
@@ -30,93 +30,93 @@
 
 
 class IaxFront:
-    lasting = False
+    survives_restart = False
 
-    def __init__(self, inbox: Inbox, random: Random, takes_new: Callable[[], bool]) -> None:
+    def __init__(self, inbox: Inbox, random: Random, accepts_new_calls: Callable[[], bool]) -> None:
         self.inbox = inbox
         self.random = random
-        self.takes_new = takes_new
-        self.calls: dict[str, Leg] = {}
+        self.accepts_new_calls = accepts_new_calls
+        self.legs: dict[str, Leg] = {}
 
     # The port
 
     def answer(self, call: str, text: str) -> None:
-        leg = self.calls.get(call)
+        leg = self.legs.get(call)
         if leg is None:
             return  # the caller hung up in this same turn, and the ledger hears of it next
         description = text_elements(Ie.DESCRIPTION, text)
-        if not fit(description):
+        if not fits_in_frame(description):
             log.warning("too_long_for_iax", extra={"call": call})
             self.inbox.post(Released(call, causes.INTERWORKING))
-            self.end(call, Iax.HANGUP, causes.INTERWORKING, "description too long for IAX2")
+            self.end_call(call, Iax.HANGUP, causes.INTERWORKING, "description too long for IAX2")
             return
         leg.send(FrameType.IAX, Iax.ACCEPT, description)
         leg.send(FrameType.CONTROL, Control.ANSWER)
 
-    def refuse(self, call: str, stay_away_us: int) -> None:
-        wait = max(math.ceil(stay_away_us / 1_000_000), 1)
-        self.end(call, Iax.REJECT, causes.CONGESTION, f"no way now, come back after {wait} s")
+    def refuse(self, call: str, retry_after_us: int) -> None:
+        wait = max(math.ceil(retry_after_us / 1_000_000), 1)
+        self.end_call(call, Iax.REJECT, causes.CONGESTION, f"no way now, come back after {wait} s")
 
     def fail(self, call: str, why: Failure) -> None:
         cause = causes.MANDATORY_MISSING if why is Failure.UNFIT else causes.TEMPORARY_FAILURE
-        self.end(call, Iax.REJECT, cause, f"call failed: {why.value}")
+        self.end_call(call, Iax.REJECT, cause, f"call failed: {why.value}")
 
     def release(self, call: str, cause: int) -> None:
-        self.end(call, Iax.HANGUP, cause, "released")
+        self.end_call(call, Iax.HANGUP, cause, "released")
 
-    def end(self, call: str, subclass: Iax, code: int, text: str) -> None:
-        leg = self.calls.pop(call, None)
+    def end_call(self, call: str, subclass: Iax, code: int, text: str) -> None:
+        leg = self.legs.pop(call, None)
         if leg is not None:
             leg.end(subclass, cause_elements(code, text))
 
     # Calls
 
-    def invited(self, leg: Leg, frame: Frame) -> Caller:
+    def handle_new(self, leg: Leg, frame: Frame) -> IncomingCall:
         call = f"{self.random.getrandbits(64):016x}"
-        if not self.takes_new():
+        if not self.accepts_new_calls():
             leg.end(
                 Iax.REJECT, cause_elements(causes.TEMPORARY_FAILURE, "backup router, come back after 1 s")
             )
-            return Caller(self, call)
+            return IncomingCall(self, call)
         try:
-            offer = self.read_offer(call, frame)
+            offer = self.parse_new(call, frame)
         except ValueError as error:
             log.warning("bad_new", extra={"why": error})
             leg.end(Iax.REJECT, cause_elements(causes.MANDATORY_MISSING, f"malformed NEW: {error}"[:200]))
-            return Caller(self, call)
-        self.calls[call] = leg
+            return IncomingCall(self, call)
+        self.legs[call] = leg
         self.inbox.post(offer)
-        return Caller(self, call)
+        return IncomingCall(self, call)
 
-    def read_offer(self, call: str, frame: Frame) -> Offer:
-        if frame.integer(Ie.VERSION) != VERSION:
+    def parse_new(self, call: str, frame: Frame) -> Offer:
+        if frame.integer(Ie.VERSION) != PROTOCOL_VERSION:
             raise FrameError("no protocol version 2")
         left_ms = frame.integer(Ie.SETUP_MS)
         key, klass = frame.text(Ie.CALLED_NUMBER), frame.text(Ie.CALLED_CONTEXT)
         if left_ms is None or not key or not klass:
             raise FrameError("no time to wait, called number or class")
         left_us = min(left_ms, MAX_SETUP_MS) * 1000
-        route = read_route(frame.text(Ie.ROUTE))
+        route = parse_route(frame.text(Ie.ROUTE))
         return Offer(self, call, klass, key, frame.text(Ie.DESCRIPTION), left_us, route)
 
 
-class Caller:
+class IncomingCall:
     """The caller of one call, as its frames' owner."""
 
     def __init__(self, front: IaxFront, call: str) -> None:
         self.front = front
         self.call = call
 
-    def heard(self, frame: Frame) -> None:
-        if frame.is_iax(Iax.HANGUP, Iax.REJECT) and self.front.calls.pop(self.call, None) is not None:
+    def frame_received(self, frame: Frame) -> None:
+        if frame.is_iax(Iax.HANGUP, Iax.REJECT) and self.front.legs.pop(self.call, None) is not None:
             cause = frame.integer(Ie.CAUSECODE) or causes.NORMAL_CLEARING
             self.front.inbox.post(Released(self.call, cause))  # counts if the call stands,
             self.front.inbox.post(Cancelled(self.call))  # and this if it does not
 
-    def lost(self) -> None:
-        if self.front.calls.pop(self.call, None) is not None:
+    def leg_lost(self) -> None:
+        if self.front.legs.pop(self.call, None) is not None:
             log.info("iax_caller_lost", extra={"call": self.call})
             self.front.inbox.post(Cancelled(self.call))
 
-    def may_repeat(self) -> bool:
+    def may_retransmit(self) -> bool:
         return True
--- a/rowanmast/iax2/peers.py
+++ b/rowanmast/iax2/peers.py
@@ -8,10 +8,10 @@
 
 from rowanmast import causes
 from rowanmast import interface as api
-from rowanmast.core.ports import Answered, Attempt, AttemptOver, CallOver, Ending, Gate, Inbox
+from rowanmast.core.ports import Answered, Attempt, AttemptEnded, CallEnded, Ending, Inbox, SendGate
 from rowanmast.iax2.endpoint import Address, Endpoint, Leg
 from rowanmast.iax2.frames import (
-    VERSION,
+    PROTOCOL_VERSION,
     Control,
     Frame,
     FrameError,
@@ -19,18 +19,18 @@
     Iax,
     Ie,
     cause_elements,
-    fit,
+    fits_in_frame,
     text_elements,
 )
-from rowanmast.settings import parse_load
+from rowanmast.settings import parse_load_report
 
-PROBE_S = 1.0
+PROBE_TIMEOUT_S = 1.0
 
 log = logging.getLogger(__name__)
 
 
-class IaxLink:
-    lasting = False
+class IaxSwitchLink:
+    survives_restart = False
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         address: Address,
         iax_address: Address,
         inbox: Inbox,
-        gate: Gate,
+        gate: SendGate,
         endpoint: Endpoint,
     ) -> None:
         self.exchange = exchange
@@ -47,35 +47,35 @@
         self.inbox = inbox
         self.gate = gate
         self.endpoint = endpoint
-        self.calls: dict[str, Outgoing] = {}
-        self.removed: Callable[[], None] | None = None  # from discovery: called once no call is left
+        self.calls: dict[str, OutgoingCall] = {}
+        self.on_removal_done: Callable[[], None] | None = None  # from discovery: called once no call is left
 
     # The port
 
     def set_up(self, attempt: Attempt) -> None:
-        left_ms = max((attempt.due - self.endpoint.clock()) // 1000, 1)
+        left_ms = max((attempt.deadline - self.endpoint.clock()) // 1000, 1)
         elements = (
-            (int(Ie.VERSION), VERSION.to_bytes(2)),
+            (int(Ie.VERSION), PROTOCOL_VERSION.to_bytes(2)),
             *text_elements(Ie.CALLED_NUMBER, attempt.key),
             *text_elements(Ie.CALLED_CONTEXT, attempt.klass),
             (int(Ie.SETUP_MS), left_ms.to_bytes(4)),
             *text_elements(Ie.DESCRIPTION, attempt.text),
         )
-        if not fit(elements):
+        if not fits_in_frame(elements):
             log.warning("too_long_for_iax", extra={"call": attempt.call})
-            self.inbox.post(AttemptOver(self.exchange, attempt.call, attempt.number, api.Outcome.NOT_SENT))
+            self.inbox.post(AttemptEnded(self.exchange, attempt.call, attempt.number, api.Outcome.NOT_SENT))
             return
-        outgoing = self.calls[attempt.call] = Outgoing(self, attempt)
+        outgoing = self.calls[attempt.call] = OutgoingCall(self, attempt)
         outgoing.leg.send(FrameType.IAX, Iax.NEW, elements)
 
-    def call_off(self, call: str) -> None:
+    def cancel(self, call: str) -> None:
         self.release(call, causes.NORMAL_CLEARING)
 
     def release(self, call: str, cause: int) -> None:
         outgoing = self.calls.pop(call, None)
         if outgoing is not None:
             outgoing.leg.end(Iax.HANGUP, cause_elements(cause, "released"))
-            self.end_if_removed()
+            self.finish_removal()
 
     def probe(self) -> None:
         sent = self.endpoint.clock()
@@ -84,36 +84,38 @@
         def answered() -> None:
             timeout.cancel()
             delay = (self.endpoint.clock() - sent) * 1000
-            self.inbox.post(api.Reported(self.exchange, True, delay, api.Report()))
+            self.inbox.post(api.LoadReported(self.exchange, True, delay, api.LoadReport()))
 
         def silent() -> None:
-            self.endpoint.pokes.pop(number, None)
-            self.inbox.post(api.Reported(self.exchange, False, int(PROBE_S * 1e9), api.Report()))
+            self.endpoint.pending_pokes.pop(number, None)
+            self.inbox.post(
+                api.LoadReported(self.exchange, False, int(PROBE_TIMEOUT_S * 1e9), api.LoadReport())
+            )
 
         number = self.endpoint.poke(self.iax_address, answered)
-        timeout = loop.call_later(PROBE_S, silent)
+        timeout = loop.call_later(PROBE_TIMEOUT_S, silent)
 
-    def verify(self) -> None:
+    def verify_alive(self) -> None:
         """Each call asks for signs of life by itself."""
 
-    def remove(self, nothing_left: Callable[[], None]) -> None:
+    def remove(self, on_empty: Callable[[], None]) -> None:
         """Discovery has removed the switch. Calls that stand stay until their ends."""
-        self.removed = nothing_left
-        self.end_if_removed()
+        self.on_removal_done = on_empty
+        self.finish_removal()
 
-    def end_if_removed(self) -> None:
-        if self.removed is not None and not self.calls:
-            removed, self.removed = self.removed, None
+    def finish_removal(self) -> None:
+        if self.on_removal_done is not None and not self.calls:
+            removed, self.on_removal_done = self.on_removal_done, None
             removed()
 
     def restore(self) -> None:
-        self.removed = None
+        self.on_removal_done = None
 
     def abandon(self) -> None:
         """The switch's machine is another one now: what stands there is over."""
         for call, outgoing in list(self.calls.items()):
             if outgoing.stands:
-                over = CallOver(self.exchange, call, api.Outcome.CUT, why=Ending.SWITCH_REMOVED)
+                over = CallEnded(self.exchange, call, api.Outcome.CUT, why=Ending.SWITCH_REMOVED)
                 self.inbox.post(over)
         self.close()
 
@@ -122,52 +124,52 @@
             self.release(call, causes.TEMPORARY_FAILURE)
 
 
-class Outgoing:
+class OutgoingCall:
     """One call to the switch, as its frames' owner."""
 
-    def __init__(self, link: IaxLink, attempt: Attempt) -> None:
+    def __init__(self, link: IaxSwitchLink, attempt: Attempt) -> None:
         self.link = link
         self.attempt = attempt
-        self.text = ""
+        self.answer_text = ""
         self.stands = False
-        self.leg: Leg = link.endpoint.call(link.iax_address, self)
+        self.leg: Leg = link.endpoint.open_leg(link.iax_address, self)
 
-    def heard(self, frame: Frame) -> None:
+    def frame_received(self, frame: Frame) -> None:
         if self.link.calls.get(self.attempt.call) is not self:
             return  # called off: the switch has our HANGUP, whatever crossed it
         try:
-            self.understand(frame)
+            self.handle_frame(frame)
         except FrameError as error:
             log.warning("bad_frame", extra={"exchange": self.link.exchange, "why": error})
             self.leg.end(Iax.HANGUP, cause_elements(causes.INTERWORKING, str(error)))
-            self.over(causes.TEMPORARY_FAILURE, None, api.Report())
+            self.finish(causes.TEMPORARY_FAILURE, None, api.LoadReport())
 
-    def understand(self, frame: Frame) -> None:
+    def handle_frame(self, frame: Frame) -> None:
         if frame.is_iax(Iax.ACCEPT):
-            self.text = frame.text(Ie.DESCRIPTION)
+            self.answer_text = frame.text(Ie.DESCRIPTION)
         elif frame.kind == FrameType.CONTROL and frame.subclass == Control.ANSWER and not self.stands:
             self.stands = True
             attempt = self.attempt
-            self.link.inbox.post(Answered(self.link.exchange, attempt.call, attempt.number, self.text))
+            self.link.inbox.post(Answered(self.link.exchange, attempt.call, attempt.number, self.answer_text))
         elif frame.is_iax(Iax.HANGUP, Iax.REJECT):
             code = frame.integer(Ie.CAUSECODE) or causes.NORMAL_CLEARING
-            note = causes.NOTES.get(frame.text(Ie.CAUSE))
-            self.over(code, note, parse_load(frame.text(Ie.LOAD)))
+            note = causes.CAUSE_BY_NOTE.get(frame.text(Ie.CAUSE))
+            self.finish(code, note, parse_load_report(frame.text(Ie.LOAD)))
 
-    def lost(self) -> None:
+    def leg_lost(self) -> None:
         if self.link.calls.get(self.attempt.call) is self:
             log.info("iax_switch_lost", extra={"exchange": self.link.exchange, "call": self.attempt.call})
-            self.over(causes.TEMPORARY_FAILURE, None, api.Report())
+            self.finish(causes.TEMPORARY_FAILURE, None, api.LoadReport())
 
-    def may_repeat(self) -> bool:
-        return self.link.gate.may_leave(self.attempt)
+    def may_retransmit(self) -> bool:
+        return self.link.gate.may_send(self.attempt)
 
-    def over(self, code: int, cause: api.Cause | None, report: api.Report) -> None:
+    def finish(self, code: int, cause: api.Cause | None, report: api.LoadReport) -> None:
         attempt, exchange = self.attempt, self.link.exchange
         del self.link.calls[attempt.call]
-        self.link.end_if_removed()
+        self.link.finish_removal()
         if self.stands:
-            self.link.inbox.post(CallOver(exchange, attempt.call, causes.of_release(code), report))
+            self.link.inbox.post(CallEnded(exchange, attempt.call, causes.outcome_after_answer(code), report))
             return
-        outcome = causes.of_refusal(code)
-        self.link.inbox.post(AttemptOver(exchange, attempt.call, attempt.number, outcome, cause, report))
+        outcome = causes.outcome_before_answer(code)
+        self.link.inbox.post(AttemptEnded(exchange, attempt.call, attempt.number, outcome, cause, report))
--- a/rowanmast/iax2/session.py
+++ b/rowanmast/iax2/session.py
@@ -8,52 +8,54 @@
 
 from dataclasses import replace
 
-from rowanmast.iax2.frames import Elements, Frame, FrameError, FrameType, Iax, fit
+from rowanmast.iax2.frames import Elements, Frame, FrameError, FrameType, Iax, fits_in_frame
 
-FIRST_WAIT = 250_000  # before a frame that is not acknowledged is sent again; doubles each time
-RETRIES = 3  # a side that fell silent on a call is so found dead within 6 s, and the call released
-LINGER = 5_000_000  # an ended call still acknowledges repeats, and its number rests, for this long
-PING_EACH = 2_000_000  # a call on which nothing was heard for this long is asked whether it lives
+FIRST_RETRANSMIT_US = 250_000  # before a frame that is not acknowledged is sent again; doubles each time
+MAX_RETRANSMITS = 3  # a side that fell silent on a call is so found dead within 6 s, and the call released
+LINGER_US = 5_000_000  # an ended call still acknowledges repeats, and its number rests, for this long
+PING_INTERVAL_US = 2_000_000  # a call on which nothing was heard for this long is asked whether it lives
 
 
 class Session:
-    def __init__(self, number: int, now: int, remote: int = 0) -> None:
+    def __init__(self, number: int, now: int, remote_number: int = 0) -> None:
         self.number = number
-        self.remote = remote  # the other side's call number; 0 until it is known
-        self.begun = now
+        self.remote_number = remote_number  # the other side's call number; 0 until it is known
+        self.started_at = now
         self.heard_at = now
         self.oseqno = 0  # of the next frame sent
         self.iseqno = 0  # of the next frame expected
         self.last_timestamp = -1
         self.unacked: list[Frame] = []  # in order
-        self.retries = 0
-        self.resend_at = 0
+        self.retransmits = 0
+        self.retransmit_at = 0
         self.outbox: list[Frame] = []
         self.ended_at: int | None = None  # a HANGUP or REJECT was sent or heard
-        self.first: Frame | None = None  # the NEW that began a call from the other side
+        self.initial_new: Frame | None = None  # the NEW that began a call from the other side
 
     # Sending
 
     def send(self, now: int, kind: FrameType, subclass: int, elements: Elements = ()) -> None:
         """Sends a frame that is numbered and sent again until it is acknowledged."""
-        if not fit(elements):  # said before it takes a number, or it would be tried for ever
+        if not fits_in_frame(elements):  # said before it takes a number, or it would be tried for ever
             raise FrameError("the elements are too long for one frame")
-        frame = self.frame(now, kind, subclass, elements)
+        frame = self.make_frame(now, kind, subclass, elements)
         self.oseqno = (self.oseqno + 1) & 0xFF
         if not self.unacked:
-            self.retries, self.resend_at = 0, now + FIRST_WAIT
+            self.retransmits, self.retransmit_at = 0, now + FIRST_RETRANSMIT_US
         self.unacked.append(frame)
         self.outbox.append(frame)
 
-    def frame(self, now: int, kind: FrameType, subclass: int, elements: Elements = ()) -> Frame:
-        stamp = max((now - self.begun) // 1000, self.last_timestamp + 1)
+    def make_frame(self, now: int, kind: FrameType, subclass: int, elements: Elements = ()) -> Frame:
+        stamp = max((now - self.started_at) // 1000, self.last_timestamp + 1)
         self.last_timestamp = stamp
-        return Frame(self.number, self.remote, stamp, self.oseqno, self.iseqno, kind, subclass, elements)
+        return Frame(
+            self.number, self.remote_number, stamp, self.oseqno, self.iseqno, kind, subclass, elements
+        )
 
     def end(self, now: int, subclass: Iax, elements: Elements = ()) -> None:
         """Sends the HANGUP or REJECT that ends the call; only the first one counts."""
         if self.ended_at is None:
-            if self.remote == 0:  # a NEW of which nothing was heard must not set up the call later on
+            if self.remote_number == 0:  # a NEW of which nothing was heard must not set up the call later on
                 self.unacked.clear()
             self.send(now, FrameType.IAX, subclass, elements)
             self.ended_at = now
@@ -62,7 +64,13 @@
         """Sends a frame that takes no number and bears the time of the one that it replies to."""
         self.outbox.append(
             Frame(
-                self.number, self.remote, frame.timestamp, self.oseqno, self.iseqno, FrameType.IAX, subclass
+                self.number,
+                self.remote_number,
+                frame.timestamp,
+                self.oseqno,
+                self.iseqno,
+                FrameType.IAX,
+                subclass,
             )
         )
 
@@ -71,13 +79,15 @@
     def receive(self, now: int, frame: Frame) -> Frame | None:
         """The frame, if it is the next in order and has something to say to the call's owner."""
         self.heard_at = now
-        if self.remote == 0:
-            self.remote = frame.source
-        self.acknowledged(now, frame.iseqno)
+        if self.remote_number == 0:
+            self.remote_number = frame.source
+        self.process_ack(now, frame.iseqno)
         if frame.is_iax(Iax.VNAK):
-            self.outbox += [replace(lost.again(), destination=self.remote) for lost in self.unacked]
+            self.outbox += [
+                replace(lost.as_retransmission(), destination=self.remote_number) for lost in self.unacked
+            ]
             return None
-        if not frame.counted:
+        if not frame.is_sequenced:
             return frame if frame.is_iax(Iax.INVAL) else None
         ahead = (frame.oseqno - self.iseqno) & 0xFF
         if ahead >= 0x80:  # a repeat: our acknowledgement was lost
@@ -98,26 +108,28 @@
             self.unacked.clear()
         return None if frame.is_iax(Iax.PONG, Iax.LAGRP) else frame
 
-    def acknowledged(self, now: int, iseqno: int) -> None:
+    def process_ack(self, now: int, iseqno: int) -> None:
         """Everything before `iseqno` has arrived at the other side."""
         while self.unacked and 0 < ((iseqno - self.unacked[0].oseqno) & 0xFF) < 0x80:
             del self.unacked[0]
-            self.retries, self.resend_at = 0, now + FIRST_WAIT
+            self.retransmits, self.retransmit_at = 0, now + FIRST_RETRANSMIT_US
 
     # Time
 
-    def expire(self, now: int) -> bool:
+    def run_timers(self, now: int) -> bool:
         """Sends again what is due; False once the other side is taken for dead."""
-        if self.unacked and now >= self.resend_at:
-            if self.retries == RETRIES:
+        if self.unacked and now >= self.retransmit_at:
+            if self.retransmits == MAX_RETRANSMITS:
                 self.unacked.clear()
                 return False
-            self.retries += 1
-            self.resend_at = now + (FIRST_WAIT << self.retries)
-            self.outbox += [replace(frame.again(), destination=self.remote) for frame in self.unacked]
-        elif not self.unacked and self.ended_at is None and now >= self.heard_at + PING_EACH:
+            self.retransmits += 1
+            self.retransmit_at = now + (FIRST_RETRANSMIT_US << self.retransmits)
+            self.outbox += [
+                replace(frame.as_retransmission(), destination=self.remote_number) for frame in self.unacked
+            ]
+        elif not self.unacked and self.ended_at is None and now >= self.heard_at + PING_INTERVAL_US:
             self.send(now, FrameType.IAX, Iax.PING)
         return True
 
-    def forgotten(self, now: int) -> bool:
-        return self.ended_at is not None and not self.unacked and now >= self.ended_at + LINGER
+    def is_expired(self, now: int) -> bool:
+        return self.ended_at is not None and not self.unacked and now >= self.ended_at + LINGER_US
--- a/rowanmast/interface.py
+++ b/rowanmast/interface.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a repeated set-up of a call may do."""
 
     SAFE = "safe"
@@ -28,7 +28,7 @@
     FAILED = "failed"
 
 
-class State(Enum):
+class ExchangeState(Enum):
     """What the list says of an exchange."""
 
     UP = "up"
@@ -53,24 +53,24 @@
     """Why an attempt was not set up, where that is stated."""
 
     NO_CIRCUIT = "no circuit"
-    TURNED_BACK = "turned back"
-    FULL_BEYOND = "full beyond"  # turned back, the destination's processor was full
+    CRANKBACK = "turned back"
+    DESTINATION_FULL = "full beyond"  # turned back, the destination's processor was full
     PROCESSOR_FULL = "processor full"
     LINES_BUSY = "lines busy"
 
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    aim_ns: int
+    objective_ns: int
     deadline_ns: int
     worth: float
     late_worth: float
     width: int
-    hold_ns: int | None
-    effect: Effect
+    mean_hold_ns: int | None
+    idempotency: Idempotency
     key_scope: str  # "all", "zone" or "cell"; counts for keyed classes only
-    window_ns: int
-    pools: tuple[int, ...]  # the pools that have the skill; empty: any
+    dedup_window_ns: int
+    skilled_pools: tuple[int, ...]  # the pools that have the skill; empty: any
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,47 +78,47 @@
     """What an agent is told once, at its start."""
 
     agents: int
-    own_agent: int
+    agent_index: int
     own_exchange: int  # own number; -1 where exchanges are pools
     meshed: bool
     period_ns: int
     classes: tuple[CallClass, ...]
-    whole_weight: float
-    window_weight: float
-    class_weight: float
+    overall_weight: float
+    worst_window_weight: float
+    worst_class_weight: float
     tenant_quotas: tuple[float, ...]  # calls a second within the share, by tenant
     over_share_worth: float
-    must_ask: bool  # the list comes only when asked for
-    ask_within_ns: int
+    must_subscribe: bool  # the list comes only when asked for
+    subscribe_within_ns: int
     answer_grace_ns: int
     drain_grace_ns: int
-    cold_from: float
+    cold_share: float
     cold_ns: int
-    fall_multiple: float
-    fall_ns: int
-    release_ns: int
-    resend_ns: int  # 0: a waiting set-up is not sent again
+    collapse_load: float
+    collapse_after_ns: int
+    release_guard_ns: int
+    retransmit_ns: int  # 0: a waiting set-up is not sent again
     max_attempts: int
-    advice: bool
+    route_advice: bool
     probes: bool
-    probe_price: float
-    call_off: bool
-    stay_away: bool  # a stated stay-away time reaches the callers
-    max_stay_away_ns: int
+    probe_cost: float
+    cancel_allowed: bool
+    retry_after_allowed: bool  # a stated stay-away time reaches the callers
+    max_retry_after_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadReport:
     """What is known of a far exchange at one time."""
 
-    free: float | None = None  # circuits free on our group to it
-    size: float | None = None  # circuits of that group
-    in_work: float | None = None
-    waiting: float | None = None
-    busy: float | None = None
-    wait_ns: int | None = None
-    takes: float | None = None  # new set-ups a second from all senders
-    hold_back: float | None = None  # share of new set-ups that each sender should keep back
+    free_circuits: float | None = None  # circuits free on our group to it
+    group_size: float | None = None  # circuits of that group
+    in_progress: float | None = None
+    queued: float | None = None
+    utilization: float | None = None
+    recent_delay_ns: int | None = None
+    accept_rate: float | None = None  # new set-ups a second from all senders
+    throttle_fraction: float | None = None  # share of new set-ups that each sender should keep back
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +126,7 @@
     exchange: str
     number: int
     zone: str | None
-    state: State
+    state: ExchangeState
     started_ns: int | None  # None: long ago
 
 
@@ -154,7 +154,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stands:
+class CallAnswered:
     call: str
     attempt: int
     exchange: str
@@ -162,39 +162,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     call: str
     attempt: int
     exchange: str
     outcome: Outcome
     cause: Cause | None
-    wait_ns: int | None  # the wait that a full processor states
+    retry_after_ns: int | None  # the wait that a full processor states
     final: bool  # nothing more is owed for the call
     delay_ns: int
-    report: Report
+    report: LoadReport
 
 
 @dataclass(frozen=True, slots=True)
-class HungUp:
+class CallerHungUp:
     call: str
 
 
 @dataclass(frozen=True, slots=True)
-class Reported:
+class LoadReported:
     """Free circuits changed, or a probe was answered (delay above zero) or failed."""
 
     exchange: str
     answered: bool
     delay_ns: int
-    report: Report
+    report: LoadReport
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class TimerExpired:
     token: str
 
 
-Event = ExchangeList | Call | Stands | Ended | HungUp | Reported | TimerDue
+Event = ExchangeList | Call | CallAnswered | AttemptEnded | CallerHungUp | LoadReported | TimerExpired
 
 
 @dataclass(frozen=True, slots=True)
@@ -205,22 +205,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway:
+class RefuseCall:
     """Final answer: refused. A call in transit goes back to the agent that sent it."""
 
     call: str
-    stay_away_ns: int
+    retry_after_ns: int
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class FailCall:
     """Final answer: failed."""
 
     call: str
 
 
 @dataclass(frozen=True, slots=True)
-class CallOff:
+class CancelAttempt:
     call: str
     attempt: int
 
@@ -242,13 +242,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskList:
+class RequestList:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogMessage:
     text: str
 
 
-Action = SetUp | TurnAway | GiveUp | CallOff | SetTimer | Probe | Subscribe | AskList | Note
+Action = (
+    SetUp | RefuseCall | FailCall | CancelAttempt | SetTimer | Probe | Subscribe | RequestList | LogMessage
+)
--- a/rowanmast/liveness/machine.py
+++ b/rowanmast/liveness/machine.py
@@ -16,23 +16,29 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-HEARTBEAT_US = 3_000_000  # silence of a process with calls after which one of its connections is probed
-CONNECTION_HEARTBEAT_US = 4_500_000  # silence of a connection that carries calls after which it is probed
-ANSWER_US = 1_000_000  # a connection that has not answered a probe by then is unresponsive
+PROBE_IDLE_US = 3_000_000  # silence of a process with calls after which one of its connections is probed
+CONNECTION_PROBE_IDLE_US = 4_500_000  # silence of a connection that carries calls after which it is probed
+PROBE_TIMEOUT_US = 1_000_000  # a connection that has not answered a probe by then is unresponsive
 LEASE_US = (
     7_000_000  # since the last word of an incarnation; leaves 1 s of the protocol's 8 s to tell callers
 )
-REMOVED_HEARTBEAT_US = 500_000  # the same as these, once discovery has removed the switch: silence is
+REMOVED_PROBE_IDLE_US = 500_000  # the same as these, once discovery has removed the switch: silence is
 REMOVED_LEASE_US = 2_500_000  # believed sooner,
-REMOVED_ANSWER_US = 1_000_000  # but it has this long to answer after the removal
-DETECTION_US = (
+REMOVED_GRACE_US = 1_000_000  # but it has this long to answer after the removal
+LOSS_DETECTION_US = (
     5_000_000  # a lost connection was silent for no longer than this before it was known to be lost
 )
-LATER_US = 1_000_000  # what is heard so long after a connection came up was sent after it came up
-STALL_US = 500_000  # a check that comes later than this was held up: what has arrived is read first,
-STALL_RETRY_US = 250_000  # and the check is made after this
-AGAIN_US = 10_000  # between two checks at least
-CHECK_US = 1_000_000  # between two checks at most: what happens in between may make an earlier one due
+MAX_DELIVERY_DELAY_US = (
+    1_000_000  # what is heard so long after a connection came up was sent after it came up
+)
+STALL_THRESHOLD_US = (
+    500_000  # a check that comes later than this was held up: what has arrived is read first,
+)
+STALL_RECHECK_US = 250_000  # and the check is made after this
+MIN_CHECK_INTERVAL_US = 10_000  # between two checks at least
+MAX_CHECK_INTERVAL_US = (
+    1_000_000  # between two checks at most: what happens in between may make an earlier one due
+)
 NEVER_US = 1 << 62
 
 
@@ -43,21 +49,23 @@
     heard_at: int
     connections: set[int] = field(default_factory=set)
     calls: dict[str, int] = field(default_factory=dict)  # the connection on which each was set up
-    carried: Counter[int] = field(default_factory=Counter)  # how many calls were set up on each connection
+    call_counts: Counter[int] = field(
+        default_factory=Counter
+    )  # how many calls were set up on each connection
 
     def add(self, call: str, connection: int) -> None:
         self.calls[call] = connection
-        self.carried[connection] += 1
+        self.call_counts[connection] += 1
 
     def discard(self, call: str) -> None:
         connection = self.calls.pop(call)
-        self.carried[connection] -= 1
-        if not self.carried[connection]:
-            del self.carried[connection]
+        self.call_counts[connection] -= 1
+        if not self.call_counts[connection]:
+            del self.call_counts[connection]
 
     def clear(self) -> None:
         self.calls.clear()
-        self.carried.clear()
+        self.call_counts.clear()
 
 
 @dataclass(slots=True)
@@ -78,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Replace:
+class ReplaceConnection:
     """This connection answers no probe: nothing more should be sent on it, and another one opened."""
 
     connection: int
@@ -91,7 +99,7 @@
     calls: tuple[str, ...]
 
 
-Order = SendProbe | Replace | LeaseExpired
+LivenessAction = SendProbe | ReplaceConnection | LeaseExpired
 
 
 class SwitchLiveness:
@@ -104,25 +112,25 @@
         self.connections: dict[int, ConnectionState] = {}
         self.incarnations: list[Incarnation] = []  # those with connections or calls
         self.by_call: dict[str, Incarnation] = {}
-        self.due: int | None = None  # when `check` is next to be asked
+        self.next_check_at: int | None = None  # when `check` is next to be asked
 
     # What happens
 
-    def opened(self, now: int, connection: int) -> None:
+    def connection_opened(self, now: int, connection: int) -> None:
         incarnation = Incarnation(now, {connection})
         self.incarnations.append(incarnation)
         self.connections[connection] = ConnectionState(now, now, incarnation)
 
-    def heard(self, now: int, connection: int) -> None:
+    def data_received(self, now: int, connection: int) -> None:
         state = self.connections.get(connection)
         if state is None:
             return
         state.heard_at = state.incarnation.heard_at = now
         state.probed_at = None
         if len(self.incarnations) > 1:
-            self.join_younger(now, state)
+            self.merge_younger(now, state)
 
-    def lost(self, now: int, connection: int) -> None:
+    def connection_lost(self, now: int, connection: int) -> None:
         """The connection is closed, from whichever side. Calls stay until their lease runs out."""
         state = self.connections.pop(connection, None)
         if state is None:
@@ -130,17 +138,17 @@
         incarnation = state.incarnation
         incarnation.connections.discard(connection)
         if not incarnation.connections:
-            incarnation.heard_at = max(incarnation.heard_at, now - DETECTION_US)
-            self.forget_if_empty(incarnation)
+            incarnation.heard_at = max(incarnation.heard_at, now - LOSS_DETECTION_US)
+            self.remove_if_empty(incarnation)
 
-    def stands(self, call: str, connection: int) -> None:
+    def call_answered(self, call: str, connection: int) -> None:
         """The switch has answered the set-up of a call on this connection."""
         state = self.connections.get(connection)
         if state is not None and call not in self.by_call:
             state.incarnation.add(call, connection)
             self.by_call[call] = state.incarnation
 
-    def released(self, call: str, connection: int | None = None) -> bool:
+    def call_released(self, call: str, connection: int | None = None) -> bool:
         """The call is over, by the word on `connection` if that is given. False if it did not stand."""
         incarnation = self.by_call.pop(call, None)
         if incarnation is None:
@@ -149,23 +157,23 @@
         teller = None if connection is None else self.connections.get(connection)
         if teller is not None and teller.incarnation is not incarnation:
             self.merge(incarnation, teller.incarnation)
-        self.forget_if_empty(incarnation)
+        self.remove_if_empty(incarnation)
         return True
 
-    def remove(self, now: int) -> None:
+    def switch_removed(self, now: int) -> None:
         """Discovery has removed the switch: silence is believed sooner."""
         self.removed_at = now
 
-    def restore(self) -> None:
+    def switch_restored(self) -> None:
         """Discovery lists it again."""
         self.removed_at = None
 
-    def end_all(self) -> tuple[str, ...]:
+    def end_all_calls(self) -> tuple[str, ...]:
         """Ends every lease; the calls that stood."""
         calls = tuple(self.by_call)
         for incarnation in list(self.incarnations):
             incarnation.clear()
-            self.forget_if_empty(incarnation)
+            self.remove_if_empty(incarnation)
         self.by_call.clear()
         return calls
 
@@ -179,99 +187,103 @@
         state = self.connections.get(connection)
         return state is not None and bool(state.incarnation.calls)
 
-    def is_only_sign(self, connection: int) -> bool:
+    def is_sole_connection(self, connection: int) -> bool:
         """Whether calls stand on the process behind this connection, and no other is known to lead to it."""
         state = self.connections.get(connection)
         return state is not None and bool(state.incarnation.calls) and len(state.incarnation.connections) == 1
 
-    def is_heard_since(self, moment: int) -> bool:
+    def all_heard_since(self, moment: int) -> bool:
         """Whether every process on which calls stand has been heard since then."""
         return all(one.heard_at >= moment for one in self.incarnations if one.calls)
 
     # What to do
 
-    def check(self, now: int) -> list[Order]:
+    def check(self, now: int) -> list[LivenessAction]:
         """What is due. `due` says when to ask again; None if no call stands."""
-        stalled = self.due is not None and now > self.due + STALL_US
-        orders: list[Order] = []
+        stalled = self.next_check_at is not None and now > self.next_check_at + STALL_THRESHOLD_US
+        orders: list[LivenessAction] = []
         for incarnation in [one for one in self.incarnations if one.calls]:
             if stalled:
                 self.restart_probes(now, incarnation)
-            elif now >= self.expires_at(incarnation):
-                orders.append(LeaseExpired(self.expire(incarnation)))
+            elif now >= self.lease_expires_at(incarnation):
+                orders.append(LeaseExpired(self.expire_lease(incarnation)))
             elif self.may_probe:
-                orders += self.probe(now, incarnation)
-        self.plan(now, STALL_RETRY_US if stalled else AGAIN_US)
+                orders += self.probe_incarnation(now, incarnation)
+        self.schedule_check(now, STALL_RECHECK_US if stalled else MIN_CHECK_INTERVAL_US)
         return orders
 
-    def verify(self, now: int) -> list[Order]:
+    def probe_all(self, now: int) -> list[LivenessAction]:
         """Probes at once every connection that carries calls."""
-        orders: list[Order] = []
+        orders: list[LivenessAction] = []
         if self.may_probe:
-            for connection in self.carrying():
+            for connection in self.call_connections():
                 self.connections[connection].probed_at = now
                 orders.append(SendProbe(connection))
-        self.plan(now, 0)
+        self.schedule_check(now, 0)
         return orders
 
-    def plan(self, now: int, at_least: int) -> None:
+    def schedule_check(self, now: int, at_least: int) -> None:
         """Sets `due`, no sooner than `at_least` from now."""
-        moments = [self.next_moment(one) for one in self.incarnations if one.calls]
-        latest = now + self.heartbeat(CHECK_US)
-        self.due = max(min(*moments, latest), now + at_least) if moments else None
+        moments = [self.next_event_at(one) for one in self.incarnations if one.calls]
+        latest = now + self.probe_interval(MAX_CHECK_INTERVAL_US)
+        self.next_check_at = max(min(*moments, latest), now + at_least) if moments else None
 
-    def heartbeat(self, regular: int) -> int:
+    def probe_interval(self, regular: int) -> int:
         """An interval of probes, which is shorter for a removed switch."""
-        return regular if self.removed_at is None else REMOVED_HEARTBEAT_US
+        return regular if self.removed_at is None else REMOVED_PROBE_IDLE_US
 
-    def next_moment(self, incarnation: Incarnation) -> int:
-        moment = self.expires_at(incarnation)
+    def next_event_at(self, incarnation: Incarnation) -> int:
+        moment = self.lease_expires_at(incarnation)
         if not self.may_probe or not incarnation.connections:
             return moment
-        states = [self.connections[connection] for connection in self.carrying_of(incarnation)]
-        answers = [state.probed_at + ANSWER_US for state in states if state.probed_at is not None]
+        states = [self.connections[connection] for connection in self.call_connections_of(incarnation)]
+        answers = [state.probed_at + PROBE_TIMEOUT_US for state in states if state.probed_at is not None]
         if not answers:
-            moment = min(moment, incarnation.heard_at + self.heartbeat(HEARTBEAT_US))
+            moment = min(moment, incarnation.heard_at + self.probe_interval(PROBE_IDLE_US))
         silences = [state.heard_at for state in states if state.probed_at is None]
-        probes = [heard_at + self.heartbeat(CONNECTION_HEARTBEAT_US) for heard_at in silences]
+        probes = [heard_at + self.probe_interval(CONNECTION_PROBE_IDLE_US) for heard_at in silences]
         return min(moment, *answers, *probes)
 
-    def expires_at(self, incarnation: Incarnation) -> int:
+    def lease_expires_at(self, incarnation: Incarnation) -> int:
         if incarnation.connections and not self.may_probe:
             return NEVER_US
         expires_at = incarnation.heard_at + LEASE_US
         if self.removed_at is None:
             return expires_at
-        sooner = max(incarnation.heard_at + REMOVED_LEASE_US, self.removed_at + REMOVED_ANSWER_US)
+        sooner = max(incarnation.heard_at + REMOVED_LEASE_US, self.removed_at + REMOVED_GRACE_US)
         return min(expires_at, sooner)
 
-    def carrying(self) -> Iterable[int]:
+    def call_connections(self) -> Iterable[int]:
         for incarnation in self.incarnations:
             if incarnation.calls:
-                yield from self.carrying_of(incarnation)
+                yield from self.call_connections_of(incarnation)
 
-    def carrying_of(self, incarnation: Incarnation) -> Iterable[int]:
+    def call_connections_of(self, incarnation: Incarnation) -> Iterable[int]:
         """The connections on which ends of calls may come: all, where a call's own connection is lost."""
-        carrying = incarnation.carried.keys()
+        carrying = incarnation.call_counts.keys()
         return carrying if carrying <= incarnation.connections else incarnation.connections
 
-    def probe(self, now: int, incarnation: Incarnation) -> list[Order]:
+    def probe_incarnation(self, now: int, incarnation: Incarnation) -> list[LivenessAction]:
         """Asks one connection first, as probes are priced; all of them once one has not answered."""
-        carrying = sorted(self.carrying_of(incarnation), key=lambda one: -self.connections[one].heard_at)
+        carrying = sorted(
+            self.call_connections_of(incarnation), key=lambda one: -self.connections[one].heard_at
+        )
         asked = [one for one in carrying if self.connections[one].probed_at is not None]
-        unanswered = [one for one in asked if now >= (self.connections[one].probed_at or 0) + ANSWER_US]
+        unanswered = [
+            one for one in asked if now >= (self.connections[one].probed_at or 0) + PROBE_TIMEOUT_US
+        ]
         silent = [one for one in carrying if one not in asked and self.is_silent(now, one)]
-        if now >= incarnation.heard_at + self.heartbeat(HEARTBEAT_US):
+        if now >= incarnation.heard_at + self.probe_interval(PROBE_IDLE_US):
             if unanswered:
                 silent = [one for one in carrying if one not in asked]
             elif not asked:
                 silent = silent or carrying[:1]
         for connection in (*unanswered, *silent):
             self.connections[connection].probed_at = now  # one that has to stay unanswered is judged again
-        return [*map(Replace, unanswered), *map(SendProbe, silent)]
+        return [*map(ReplaceConnection, unanswered), *map(SendProbe, silent)]
 
     def is_silent(self, now: int, connection: int) -> bool:
-        return now >= self.connections[connection].heard_at + self.heartbeat(CONNECTION_HEARTBEAT_US)
+        return now >= self.connections[connection].heard_at + self.probe_interval(CONNECTION_PROBE_IDLE_US)
 
     def restart_probes(self, now: int, incarnation: Incarnation) -> None:
         for connection in incarnation.connections:
@@ -279,20 +291,20 @@
             if state.probed_at is not None:
                 state.probed_at = now
 
-    def expire(self, incarnation: Incarnation) -> tuple[str, ...]:
+    def expire_lease(self, incarnation: Incarnation) -> tuple[str, ...]:
         calls = tuple(incarnation.calls)
         for call in calls:
             del self.by_call[call]
         incarnation.clear()
-        self.forget_if_empty(incarnation)
+        self.remove_if_empty(incarnation)
         return calls
 
     # Which connections lead to the same process
 
-    def join_younger(self, now: int, heard: ConnectionState) -> None:
+    def merge_younger(self, now: int, heard: ConnectionState) -> None:
         """What is heard now was sent after these came up, so its process was the one that accepted them."""
         for state in list(self.connections.values()):
-            accepted = heard.opened_at <= state.opened_at <= now - LATER_US
+            accepted = heard.opened_at <= state.opened_at <= now - MAX_DELIVERY_DELAY_US
             if accepted and state.incarnation is not heard.incarnation:
                 self.merge(state.incarnation, heard.incarnation)
 
@@ -303,12 +315,12 @@
             self.by_call[call] = into
         into.connections |= gone.connections
         into.calls |= gone.calls
-        into.carried += gone.carried
+        into.call_counts += gone.call_counts
         into.heard_at = max(into.heard_at, gone.heard_at)
         gone.connections.clear()
         gone.clear()
-        self.forget_if_empty(gone)
+        self.remove_if_empty(gone)
 
-    def forget_if_empty(self, incarnation: Incarnation) -> None:
+    def remove_if_empty(self, incarnation: Incarnation) -> None:
         if not incarnation.connections and not incarnation.calls and incarnation in self.incarnations:
             self.incarnations.remove(incarnation)
--- a/rowanmast/middleware/admission.py
+++ b/rowanmast/middleware/admission.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from rowanmast import interface as api
-from rowanmast.control import CallAgent
+from rowanmast.call_agent import CallAgent
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
@@ -22,53 +22,53 @@
 Send = Callable[[Message], Awaitable[None]]
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-APP = "app"
-SECOND = 1_000_000_000
+APP_EXCHANGE = "app"
+NS_PER_S = 1_000_000_000
 
 
 def settings_for(aim_s: float, deadline_s: float) -> api.Settings:
     """Settings for one application whose responses should start within `aim_s`."""
     kind = api.CallClass(
-        aim_ns=int(aim_s * SECOND),
-        deadline_ns=int(deadline_s * SECOND),
+        objective_ns=int(aim_s * NS_PER_S),
+        deadline_ns=int(deadline_s * NS_PER_S),
         worth=1.0,
         late_worth=0.0,
         width=1,
-        hold_ns=None,
-        effect=api.Effect.SAFE,  # an attempt is never repeated here
+        mean_hold_ns=None,
+        idempotency=api.Idempotency.SAFE,  # an attempt is never repeated here
         key_scope="all",
-        window_ns=0,
-        pools=(),
+        dedup_window_ns=0,
+        skilled_pools=(),
     )
     return api.Settings(
         agents=1,
-        own_agent=0,
+        agent_index=0,
         own_exchange=-1,
         meshed=False,
         period_ns=1_000_000,
         classes=(kind,),
-        whole_weight=1.0,
-        window_weight=0.0,
-        class_weight=0.0,
+        overall_weight=1.0,
+        worst_window_weight=0.0,
+        worst_class_weight=0.0,
         tenant_quotas=(),
         over_share_worth=0.0,
-        must_ask=False,
-        ask_within_ns=0,
+        must_subscribe=False,
+        subscribe_within_ns=0,
         answer_grace_ns=0,
         drain_grace_ns=0,
-        cold_from=1.0,
+        cold_share=1.0,
         cold_ns=0,
-        fall_multiple=1.0,
-        fall_ns=0,
-        release_ns=0,
-        resend_ns=0,
+        collapse_load=1.0,
+        collapse_after_ns=0,
+        release_guard_ns=0,
+        retransmit_ns=0,
         max_attempts=1,
-        advice=False,
+        route_advice=False,
         probes=False,
-        probe_price=0.0,
-        call_off=False,
-        stay_away=True,
-        max_stay_away_ns=10 * SECOND,
+        probe_cost=0.0,
+        cancel_allowed=False,
+        retry_after_allowed=True,
+        max_retry_after_ns=10 * NS_PER_S,
     )
 
 
@@ -85,22 +85,22 @@
     ) -> None:
         self.app = app
         self.clock = clock
-        self.deadline_ns = int(deadline_s * SECOND)
-        self.serial = itertools.count()
+        self.deadline_ns = int(deadline_s * NS_PER_S)
+        self.call_ids = itertools.count()
         self.agent = CallAgent(settings_for(aim_s, deadline_s), seed)
-        only = api.ListEntry(APP, 0, None, api.State.UP, None)
+        only = api.ListEntry(APP_EXCHANGE, 0, None, api.ExchangeState.UP, None)
         self.agent.handle(clock(), api.ExchangeList(api.ListKind.FULL, (only,)))
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             await self.app(scope, receive, send)
             return
-        name = str(next(self.serial))
+        name = str(next(self.call_ids))
         begun = self.clock()
-        (action,) = self.agent.handle(begun, self.call(name))
+        (action,) = self.agent.handle(begun, self.make_call(name))
         if not isinstance(action, api.SetUp):
-            wait = action.stay_away_ns if isinstance(action, api.TurnAway) else 0
-            await turn_away(send, max(math.ceil(wait / SECOND), 1))
+            wait = action.retry_after_ns if isinstance(action, api.RefuseCall) else 0
+            await send_busy(send, max(math.ceil(wait / NS_PER_S), 1))
             return
         outcome = api.Outcome.CUT  # unless the response comes to its end
         stands = False
@@ -110,7 +110,7 @@
             if message["type"] == "http.response.start":
                 stands = True
                 now = self.clock()
-                self.agent.handle(now, api.Stands(name, 0, APP, now - begun))
+                self.agent.handle(now, api.CallAnswered(name, 0, APP_EXCHANGE, now - begun))
             elif message["type"] == "http.response.body" and not message.get("more_body", False):
                 outcome = api.Outcome.DONE
             await send(message)
@@ -120,12 +120,15 @@
         finally:
             now = self.clock()
             if not stands:
-                self.agent.handle(now, api.HungUp(name))
+                self.agent.handle(now, api.CallerHungUp(name))
             self.agent.handle(
-                now, api.Ended(name, 0, APP, outcome, None, None, True, now - begun, api.Report())
+                now,
+                api.AttemptEnded(
+                    name, 0, APP_EXCHANGE, outcome, None, None, True, now - begun, api.LoadReport()
+                ),
             )
 
-    def call(self, name: str) -> api.Call:
+    def make_call(self, name: str) -> api.Call:
         return api.Call(
             call=name,
             klass=0,
@@ -141,7 +144,7 @@
         )
 
 
-async def turn_away(send: Send, wait_s: int) -> None:
+async def send_busy(send: Send, wait_s: int) -> None:
     headers = [
         (b"retry-after", str(wait_s).encode()),
         (b"content-type", b"text/plain; charset=utf-8"),
--- a/rowanmast/middleware/asgi.py
+++ b/rowanmast/middleware/asgi.py
@@ -15,10 +15,17 @@
     StandingCall,
     Stands,
 )
-from rowanmast.middleware.mapping import Headers, Reply, from_headers, of_closed, of_error, of_outcome
+from rowanmast.middleware.mapping import (
+    ErrorResponse,
+    Headers,
+    from_headers,
+    response_for_closed_router,
+    response_for_outcome,
+    response_for_request_error,
+)
 
-MAX_EARLY = 256 * 1024  # bytes of a request's body that are kept while its call is being set up
-KEY = "rowanmast.call"  # in the scope; in Starlette also request.state.call
+MAX_BUFFERED_BYTES = 256 * 1024  # bytes of a request's body that are kept while its call is being set up
+CALL_KEY = "rowanmast.call"  # in the scope; in Starlette also request.state.call
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
@@ -59,50 +66,50 @@
                 return
             ticket = self.router.submit(request)
         except RequestError as error:
-            await reply(send, of_error(error))
+            await send_response(send, response_for_request_error(error))
             return
         except RouterClosed:
-            await reply(send, of_closed())
+            await send_response(send, response_for_closed_router())
             return
-        early = Early(receive)
+        early = RequestBuffer(receive)
         try:
-            outcome = await early.until(ticket.outcome())
+            outcome = await early.wait_for_outcome(ticket.outcome())
             if isinstance(outcome, Stands):
                 with outcome.call as call:
                     early.call = call
-                    scope[KEY] = call
+                    scope[CALL_KEY] = call
                     scope.setdefault("state", {})["call"] = call
                     await self.app(scope, early.receive, send)
             elif outcome is not None:  # None: the client has gone, and the call was taken back
-                await reply(send, of_outcome(outcome))
+                await send_response(send, response_for_outcome(outcome))
         finally:
             early.close()
 
 
-class Early:
+class RequestBuffer:
     """Hears the client while its call is being set up, keeps what comes, hands it on to the application."""
 
     def __init__(self, receive: Receive) -> None:
-        self.source = receive
-        self.kept: list[Message] = []
-        self.size = 0
+        self.upstream_receive = receive
+        self.buffered: list[Message] = []
+        self.buffered_bytes = 0
         self.pending: asyncio.Future[Message] | None = None
-        self.gone = False
+        self.disconnected = False
         self.call: StandingCall | None = None
 
-    async def until(self, outcome: Awaitable[Outcome]) -> Outcome | None:
+    async def wait_for_outcome(self, outcome: Awaitable[Outcome]) -> Outcome | None:
         """The outcome; None if the client went away first, which cancels it."""
         placing: asyncio.Future[Outcome] = asyncio.ensure_future(outcome)
         try:
-            while not placing.done() and not self.gone:
-                if self.pending is None and self.size < MAX_EARLY:
-                    self.pending = asyncio.ensure_future(self.source())
+            while not placing.done() and not self.disconnected:
+                if self.pending is None and self.buffered_bytes < MAX_BUFFERED_BYTES:
+                    self.pending = asyncio.ensure_future(self.upstream_receive())
                 waits: set[asyncio.Future[Any]] = {placing}
                 if self.pending is not None:
                     waits.add(self.pending)
                 await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
                 if self.pending is not None and self.pending.done():
-                    self.keep()
+                    self.buffer_pending()
         except BaseException:
             placing.cancel()
             raise
@@ -112,13 +119,13 @@
         await asyncio.wait({placing})
         return None
 
-    def keep(self) -> None:
+    def buffer_pending(self) -> None:
         assert self.pending is not None
         message = self.pending.result()
         self.pending = None
-        self.kept.append(message)
-        self.size += len(message.get("body", b"")) + 1
-        self.gone = message["type"] == "http.disconnect"
+        self.buffered.append(message)
+        self.buffered_bytes += len(message.get("body", b"")) + 1
+        self.disconnected = message["type"] == "http.disconnect"
 
     def close(self) -> None:
         if self.pending is not None:
@@ -126,13 +133,13 @@
 
     async def receive(self) -> Message:
         """What the application calls: first what was kept, then what comes."""
-        if self.kept:
-            return self.kept.pop(0)
+        if self.buffered:
+            return self.buffered.pop(0)
         if self.pending is not None:
             pending, self.pending = self.pending, None
             message = await pending
         else:
-            message = await self.source()
+            message = await self.upstream_receive()
         if message["type"] == "http.disconnect" and self.call is not None:
             self.call.release()  # nobody is there to use it
         return message
@@ -143,7 +150,7 @@
     return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in scope["headers"]}
 
 
-async def reply(send: Send, answer: Reply) -> None:
+async def send_response(send: Send, answer: ErrorResponse) -> None:
     headers = [(name.encode(), value.encode()) for name, value in answer.headers()]
     await send({"type": "http.response.start", "status": answer.status, "headers": headers})
     await send({"type": "http.response.body", "body": answer.body()})
--- a/rowanmast/middleware/wsgi.py
+++ b/rowanmast/middleware/wsgi.py
@@ -6,8 +6,15 @@
 from typing import Any
 
 from rowanmast.embed import CallRequest, EmbeddedRouter, RequestError, RouterClosed, StandingCall, Stands
-from rowanmast.middleware.asgi import KEY
-from rowanmast.middleware.mapping import Headers, Reply, from_headers, of_closed, of_error, of_outcome
+from rowanmast.middleware.asgi import CALL_KEY
+from rowanmast.middleware.mapping import (
+    ErrorResponse,
+    Headers,
+    from_headers,
+    response_for_closed_router,
+    response_for_outcome,
+    response_for_request_error,
+)
 
 Environ = dict[str, Any]
 StartResponse = Callable[..., Any]
@@ -41,32 +48,32 @@
                 return self.app(environ, start_response)
             outcome = self.router.place_blocking(request)
         except RequestError as error:
-            return reply(start_response, of_error(error))
+            return send_response(start_response, response_for_request_error(error))
         except RouterClosed:
-            return reply(start_response, of_closed())
+            return send_response(start_response, response_for_closed_router())
         if not isinstance(outcome, Stands):
-            return reply(start_response, of_outcome(outcome))
-        environ[KEY] = outcome.call
+            return send_response(start_response, response_for_outcome(outcome))
+        environ[CALL_KEY] = outcome.call
         try:
-            return Response(self.app(environ, start_response), outcome.call)
+            return ReleasingResponse(self.app(environ, start_response), outcome.call)
         except BaseException:
             outcome.call.release()
             raise
 
 
-class Response:
+class ReleasingResponse:
     """The application's response, whose end releases the call."""
 
     def __init__(self, parts: Iterable[bytes], call: StandingCall) -> None:
-        self.parts = parts
+        self.body = parts
         self.call = call
 
     def __iter__(self) -> Iterator[bytes]:
-        return iter(self.parts)
+        return iter(self.body)
 
     def close(self) -> None:
         try:
-            close = getattr(self.parts, "close", None)
+            close = getattr(self.body, "close", None)
             if close is not None:
                 close()
         finally:
@@ -78,6 +85,6 @@
     return {name[5:].lower().replace("_", "-"): str(environ[name]) for name in names}
 
 
-def reply(start_response: StartResponse, answer: Reply) -> Iterable[bytes]:
+def send_response(start_response: StartResponse, answer: ErrorResponse) -> Iterable[bytes]:
     start_response(f"{answer.status} {answer.reason}", answer.headers())
     return [answer.body()]
--- a/rowanmast/net/callers.py
+++ b/rowanmast/net/callers.py
@@ -12,245 +12,249 @@
 from rowanmast.core.ports import Cancelled, Failure, Inbox, Offer, Released
 from rowanmast.net import sip
 from rowanmast.net.stream import Stream
-from rowanmast.routes import figure, read_route
+from rowanmast.routes import parse_integer, parse_route
 
-MAX_UNREAD = 256 * 1024  # bytes a caller may leave unread before its connection is closed
+MAX_WRITE_BUFFER_BYTES = 256 * 1024  # bytes a caller may leave unread before its connection is closed
 MAX_SETUP_MS = 3_600_000  # nobody waits longer, and timers take no time without bounds
-MAX_SET_UPS = 200  # open on one connection: a caller that floods us is refused before it costs others
-BYE_KEPT_US = 10_000_000  # a BYE that nobody answers is forgotten after this long
-BYE_AGAIN_US = 250_000  # one that is not answered goes out on another connection, at doubling gaps
-FIRST_US = 2_500_000  # a connection on which nothing at all has come by then is closed
-IDLE_US = 10_000_000  # one without a set-up open is closed this long after its last byte; callers take 4 s
-QUIET_US = (
+MAX_SET_UPS_PER_CONNECTION = (
+    200  # open on one connection: a caller that floods us is refused before it costs others
+)
+BYE_LIFETIME_US = 10_000_000  # a BYE that nobody answers is forgotten after this long
+BYE_RETRY_US = 250_000  # one that is not answered goes out on another connection, at doubling gaps
+FIRST_BYTE_TIMEOUT_US = 2_500_000  # a connection on which nothing at all has come by then is closed
+IDLE_TIMEOUT_US = (
+    10_000_000  # one without a set-up open is closed this long after its last byte; callers take 4 s
+)
+SHUTDOWN_IDLE_TIMEOUT_US = (
     250_000  # the same while the router ends: longer than a set-up takes that crosses the close (50 ms)
 )
-SWEEP_S = 0.25
-LIMIT_EACH_US = 1_000_000  # a crowd at the limit is logged once in this time, not for each that comes
-FAILURES = {Failure.GIVEN_UP: 500, Failure.CANCELLED: 487, Failure.FAULT: 500, Failure.UNFIT: 400}
+SWEEP_INTERVAL_S = 0.25
+LIMIT_LOG_INTERVAL_US = 1_000_000  # a crowd at the limit is logged once in this time, not for each that comes
+FAILURE_STATUS = {Failure.GIVEN_UP: 500, Failure.CANCELLED: 487, Failure.FAULT: 500, Failure.UNFIT: 400}
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
-class Bye:
+class PendingBye:
     """A release that a caller has to hear."""
 
     cause: int
-    begun: int
-    sent_on: Connection | None = None
-    again_at: int = 0
-    gap: int = BYE_AGAIN_US
+    created_at: int
+    sent_on: CallerConnection | None = None
+    retry_at: int = 0
+    retry_delay_us: int = BYE_RETRY_US
 
 
-class Callers:
+class SipFront:
     """All callers' connections, the set-ups open on them and the releases that they still have to hear."""
 
-    lasting = True
+    survives_restart = True
 
-    def __init__(self, inbox: Inbox, most: int, clock: Callable[[], int]) -> None:
+    def __init__(self, inbox: Inbox, max_connections: int, clock: Callable[[], int]) -> None:
         self.inbox = inbox
         self.clock = clock
-        self.most = most  # connections, so that descriptors are left for the switches
-        self.strangers: dict[Connection, None] = {}  # that minded no call yet, oldest first
-        self.known: dict[Connection, None] = {}  # that did, the last to mind one at the end
-        self.open: dict[str, tuple[Connection, sip.Message]] = {}
-        self.standing: dict[str, Connection] = {}  # where each call that stands was set up
-        self.byes: dict[str, Bye] = {}  # that no caller has answered yet
-        self.closing = False  # tests fail, so that callers go elsewhere
+        self.max_connections = max_connections  # connections, so that descriptors are left for the switches
+        self.unconfirmed: dict[CallerConnection, None] = {}  # that minded no call yet, oldest first
+        self.confirmed: dict[CallerConnection, None] = {}  # that did, the last to mind one at the end
+        self.pending_invites: dict[str, tuple[CallerConnection, sip.Message]] = {}
+        self.standing: dict[str, CallerConnection] = {}  # where each call that stands was set up
+        self.pending_byes: dict[str, PendingBye] = {}  # that no caller has answered yet
+        self.draining = False  # tests fail, so that callers go elsewhere
         self.refusing = False  # set-ups are refused at once
-        self.limit_told = -LIMIT_EACH_US  # when the log last said that the limit is reached
-        self.timer: asyncio.TimerHandle | None = None
+        self.limit_logged_at = -LIMIT_LOG_INTERVAL_US  # when the log last said that the limit is reached
+        self.sweep_timer: asyncio.TimerHandle | None = None
 
     # The port
 
     def answer(self, call: str, text: str) -> None:
-        connection, _ = self.open.get(call, (None, None))
+        connection, _ = self.pending_invites.get(call, (None, None))
         if connection is not None:
             self.standing[call] = connection
             connection.standing.add(call)
             if connection.half_closed:
-                connection.answered_half_closed.add(call)
+                connection.answered_after_half_close.add(call)
         self.respond(call, 200, (("Contact", f"<sip:{call}@net>"),), text.encode("utf-8", "surrogatepass"))
 
-    def refuse(self, call: str, stay_away_us: int) -> None:
-        wait = max(math.ceil(stay_away_us / 1_000_000), 1)  # RFC 3261 counts in whole seconds
+    def refuse(self, call: str, retry_after_us: int) -> None:
+        wait = max(math.ceil(retry_after_us / 1_000_000), 1)  # RFC 3261 counts in whole seconds
         self.respond(call, 503, (("Retry-After", str(wait)),))
 
     def fail(self, call: str, why: Failure) -> None:
-        self.respond(call, FAILURES[why])
+        self.respond(call, FAILURE_STATUS[why])
 
     def release(self, call: str, cause: int) -> None:
         """Any caller's connection will do, since a call that stands belongs to none; its own comes first."""
-        bye = self.byes[call] = Bye(cause, self.clock())
-        self.send_bye(call, bye, self.over(call))
-        self.wake()
+        bye = self.pending_byes[call] = PendingBye(cause, self.clock())
+        self.send_bye(call, bye, self.remove_standing(call))
+        self.schedule_sweep()
 
-    def over(self, call: str) -> Connection | None:
+    def remove_standing(self, call: str) -> CallerConnection | None:
         connection = self.standing.pop(call, None)
         if connection is not None:
             connection.standing.discard(call)
-            connection.answered_half_closed.discard(call)
+            connection.answered_after_half_close.discard(call)
         return connection
 
-    def send_bye(self, call: str, bye: Bye, connection: Connection | None = None) -> None:
+    def send_bye(self, call: str, bye: PendingBye, connection: CallerConnection | None = None) -> None:
         """On the connection that last minded a call, or on another one where that gave no answer.
 
         One that minded none may belong to nobody who knows of calls: it serves only if there is no other.
         """
         if connection is None or connection.half_closed:  # one that is half closed can't acknowledge it
-            others = (*reversed(self.known), *reversed(self.strangers))
+            others = (*reversed(self.confirmed), *reversed(self.unconfirmed))
             connection = next((other for other in others if other is not bye.sent_on), bye.sent_on)
         if connection is not None:
             bye.sent_on = connection
-            bye.again_at = self.clock() + bye.gap
-            bye.gap *= 2
-            connection.write(sip.bye(call, bye.cause))
+            bye.retry_at = self.clock() + bye.retry_delay_us
+            bye.retry_delay_us *= 2
+            connection.write(sip.encode_bye(call, bye.cause))
 
     def sweep(self) -> None:
         """Sends again what was not answered, and closes connections of which nothing comes."""
-        self.timer = None
+        self.sweep_timer = None
         now = self.clock()
-        for call, bye in list(self.byes.items()):
-            if now - bye.begun > BYE_KEPT_US:
-                del self.byes[call]  # an answer to a BYE is not owed
-            elif now >= bye.again_at:
+        for call, bye in list(self.pending_byes.items()):
+            if now - bye.created_at > BYE_LIFETIME_US:
+                del self.pending_byes[call]  # an answer to a BYE is not owed
+            elif now >= bye.retry_at:
                 self.send_bye(call, bye)
-        awaited = {bye.sent_on for bye in self.byes.values()}
-        for connection in [*self.strangers, *self.known]:
+        awaited = {bye.sent_on for bye in self.pending_byes.values()}
+        for connection in [*self.unconfirmed, *self.confirmed]:
             if self.refusing and connection in awaited and not connection.half_closed:
                 continue  # the answer to a BYE may still come
-            if connection.is_idle() and now - connection.read_at > self.patience(connection):
-                self.dismiss(connection)
-        if self.byes or self.strangers or self.known:
-            self.wake()
+            if connection.is_idle() and now - connection.last_read_at > self.idle_timeout(connection):
+                self.close_connection(connection)
+        if self.pending_byes or self.unconfirmed or self.confirmed:
+            self.schedule_sweep()
 
-    def patience(self, connection: Connection) -> int:
+    def idle_timeout(self, connection: CallerConnection) -> int:
         """How long a connection with nothing open on it may be silent, in microseconds."""
         if connection.half_closed:
             return 0
-        if self.refusing and connection is not next(reversed(self.known), None):
-            return QUIET_US  # the last that acknowledged something stays, for releases
-        return IDLE_US if connection.has_read else FIRST_US
+        if self.refusing and connection is not next(reversed(self.confirmed), None):
+            return SHUTDOWN_IDLE_TIMEOUT_US  # the last that acknowledged something stays, for releases
+        return IDLE_TIMEOUT_US if connection.has_received else FIRST_BYTE_TIMEOUT_US
 
-    def wake(self) -> None:
-        if self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(SWEEP_S, self.sweep)
+    def schedule_sweep(self) -> None:
+        if self.sweep_timer is None:
+            self.sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def respond(
         self, call: str, status: int, headers: tuple[tuple[str, str], ...] = (), body: bytes = b""
     ) -> None:
-        connection, invite = self.open.pop(call, (None, None))
+        connection, invite = self.pending_invites.pop(call, (None, None))
         if connection is not None and invite is not None:
             connection.set_ups.discard(call)
-            connection.write(sip.respond(invite, status, headers, body))
+            connection.write(sip.encode_response(invite, status, headers, body))
 
     # Connections
 
-    def connected(self, connection: Connection) -> None:
-        connection.begun = connection.read_at = self.clock()
-        if len(self.strangers) + len(self.known) >= self.most:
-            if connection.begun - self.limit_told >= LIMIT_EACH_US:
-                self.limit_told = connection.begun
-                log.warning("caller_limit", extra={"connections": self.most})
-            self.dismiss(self.least_needed() or connection)
-        if not connection.closing:
-            self.strangers[connection] = None
+    def connection_opened(self, connection: CallerConnection) -> None:
+        connection.opened_at = connection.last_read_at = self.clock()
+        if len(self.unconfirmed) + len(self.confirmed) >= self.max_connections:
+            if connection.opened_at - self.limit_logged_at >= LIMIT_LOG_INTERVAL_US:
+                self.limit_logged_at = connection.opened_at
+                log.warning("caller_limit", extra={"connections": self.max_connections})
+            self.close_connection(self.eviction_candidate() or connection)
+        if not connection.is_closing:
+            self.unconfirmed[connection] = None
             self.resend_byes(None)
-            self.wake()
+            self.schedule_sweep()
 
-    def least_needed(self) -> Connection | None:
+    def eviction_candidate(self) -> CallerConnection | None:
         """The oldest that never minded a call, or the one that did so longest ago."""
-        oldest = (*self.strangers, *self.known)
+        oldest = (*self.unconfirmed, *self.confirmed)
         return next((connection for connection in oldest if not connection.set_ups), None)
 
-    def dismiss(self, connection: Connection) -> None:
+    def close_connection(self, connection: CallerConnection) -> None:
         """Nothing more is heard or told there, though the close itself takes effect a turn later."""
-        self.lost(connection)
+        self.connection_closed(connection)
         connection.close()
 
     def close(self) -> None:
-        for connection in [*self.strangers, *self.known]:
-            self.dismiss(connection)
+        for connection in [*self.unconfirmed, *self.confirmed]:
+            self.close_connection(connection)
 
-    def forget(self, connection: Connection) -> None:
-        self.strangers.pop(connection, None)
-        self.known.pop(connection, None)
+    def remove_connection(self, connection: CallerConnection) -> None:
+        self.unconfirmed.pop(connection, None)
+        self.confirmed.pop(connection, None)
         self.resend_byes(connection)
 
-    def lost(self, connection: Connection) -> None:
+    def connection_closed(self, connection: CallerConnection) -> None:
         """Gives up the set-ups open on it, and calls whose answer came too late for its other side."""
         for call in connection.set_ups:
-            del self.open[call]
+            del self.pending_invites[call]
             self.inbox.post(Cancelled(call))
         connection.set_ups.clear()
         for call in connection.standing:
             del self.standing[call]
-            if call in connection.answered_half_closed:
+            if call in connection.answered_after_half_close:
                 self.inbox.post(Released(call, NORMAL_CLEARING))
         connection.standing.clear()
-        self.forget(connection)
+        self.remove_connection(connection)
 
-    def resend_byes(self, sent_on: Connection | None) -> None:
+    def resend_byes(self, sent_on: CallerConnection | None) -> None:
         """Those that found no connection, or one that may not have delivered them."""
-        for call, bye in self.byes.items():
+        for call, bye in self.pending_byes.items():
             if bye.sent_on is sent_on:
-                bye.sent_on, bye.gap = None, BYE_AGAIN_US
+                bye.sent_on, bye.retry_delay_us = None, BYE_RETRY_US
                 self.send_bye(call, bye)
 
-    def received(self, connection: Connection, message: sip.Message) -> None:
+    def handle_message(self, connection: CallerConnection, message: sip.Message) -> None:
         if message.status:
-            if message.cseq_method == "BYE" and self.byes.pop(message.call_id, None) is not None:
-                self.minds(connection)
+            if message.cseq_method == "BYE" and self.pending_byes.pop(message.call_id, None) is not None:
+                self.mark_confirmed(connection)
             return
         match message.method:
             case "INVITE":
-                self.invited(connection, message)
+                self.handle_invite(connection, message)
             case "CANCEL":
-                connection.write(sip.respond(message, 200))
+                connection.write(sip.encode_response(message, 200))
                 self.inbox.post(Cancelled(message.call_id))
             case "BYE":
-                connection.write(sip.respond(message, 200))
-                self.byes.pop(message.call_id, None)
-                self.over(message.call_id)
-                self.inbox.post(Released(message.call_id, reason(message)))
+                connection.write(sip.encode_response(message, 200))
+                self.pending_byes.pop(message.call_id, None)
+                self.remove_standing(message.call_id)
+                self.inbox.post(Released(message.call_id, release_cause(message)))
             case "OPTIONS":
-                connection.write(sip.respond(message, 503 if self.closing else 200))
+                connection.write(sip.encode_response(message, 503 if self.draining else 200))
             case "ACK":
                 if message.call_id in connection.standing:
-                    self.minds(connection)
+                    self.mark_confirmed(connection)
             case _:
-                connection.write(sip.respond(message, 501))
+                connection.write(sip.encode_response(message, 501))
 
-    def minds(self, connection: Connection) -> None:
+    def mark_confirmed(self, connection: CallerConnection) -> None:
         """It has acknowledged an answer or a release, as only those do who made the call."""
-        self.strangers.pop(connection, None)
-        self.known.pop(connection, None)
-        self.known[connection] = None
+        self.unconfirmed.pop(connection, None)
+        self.confirmed.pop(connection, None)
+        self.confirmed[connection] = None
 
-    def invited(self, connection: Connection, message: sip.Message) -> None:
+    def handle_invite(self, connection: CallerConnection, message: sip.Message) -> None:
         call = message.call_id
-        if call in self.open:  # two under one id can't be told apart by those who sent them
+        if call in self.pending_invites:  # two under one id can't be told apart by those who sent them
             log.warning("duplicate_invite", extra={"call": call})
-            connection.write(sip.respond(message, 400))
-            if self.open[call][0] is connection:
-                self.dismiss(connection)
+            connection.write(sip.encode_response(message, 400))
+            if self.pending_invites[call][0] is connection:
+                self.close_connection(connection)
             return
         try:
-            offer = self.read_offer(message)
+            offer = self.parse_invite(message)
         except ValueError as error:
             log.warning("bad_invite", extra={"call": call, "why": error})
-            connection.write(sip.respond(message, 400))
+            connection.write(sip.encode_response(message, 400))
             return
-        if self.refusing or len(connection.set_ups) >= MAX_SET_UPS:
-            connection.write(sip.respond(message, 503, (("Retry-After", "1"),)))
+        if self.refusing or len(connection.set_ups) >= MAX_SET_UPS_PER_CONNECTION:
+            connection.write(sip.encode_response(message, 503, (("Retry-After", "1"),)))
             return
-        self.open[call] = (connection, message)
+        self.pending_invites[call] = (connection, message)
         connection.set_ups.add(call)
         self.inbox.post(offer)
 
-    def read_offer(self, message: sip.Message) -> Offer:
-        route = read_route(message.get("x-route"), message.get("x-redial") == "1")
-        left_ms = figure(message.get("x-setup-ms"))
+    def parse_invite(self, message: sip.Message) -> Offer:
+        route = parse_route(message.get("x-route"), message.get("x-redial") == "1")
+        left_ms = parse_integer(message.get("x-setup-ms"))
         if not (message.call_id and message.user and 0 <= left_ms <= MAX_SETUP_MS):
             raise ValueError("no call id, no number or no time to wait")
         return Offer(
@@ -259,43 +263,45 @@
             klass=message.get("x-service"),
             key=message.user,
             text=message.body.decode(),
-            left_us=left_ms * 1000,
+            remaining_us=left_ms * 1000,
             route=route,
         )
 
 
-def reason(message: sip.Message) -> int:
+def release_cause(message: sip.Message) -> int:
     """The Q.850 cause of a BYE; a release without one is normal clearing."""
     cause = message.get("reason").partition("cause=")[2].split(";")[0].strip()
     return int(cause) if cause.isascii() and cause.isdigit() and len(cause) <= 3 else NORMAL_CLEARING
 
 
-class Connection(Stream):
+class CallerConnection(Stream):
     """One caller's connection."""
 
-    def __init__(self, callers: Callers) -> None:
-        super().__init__("caller", MAX_UNREAD)
-        self.callers = callers
+    def __init__(self, front: SipFront) -> None:
+        super().__init__("caller", MAX_WRITE_BUFFER_BYTES)
+        self.front = front
         self.parser = sip.Parser()
         self.set_ups: set[str] = set()
         self.standing: set[str] = set()
-        self.answered_half_closed: set[str] = set()  # calls that stand, answered after its other side closed
-        self.begun = 0
-        self.read_at = 0  # when the last bytes came, or it was opened
-        self.has_read = False
+        self.answered_after_half_close: set[str] = (
+            set()
+        )  # calls that stand, answered after its other side closed
+        self.opened_at = 0
+        self.last_read_at = 0  # when the last bytes came, or it was opened
+        self.has_received = False
         self.half_closed = False  # its other side sends no more, but may still read
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.callers.connected(self)
+        self.front.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        self.read_at = self.callers.clock()
-        self.has_read = True
-        for message in self.readable(self.parser.feed(data)):
-            if self.closing:
+        self.last_read_at = self.front.clock()
+        self.has_received = True
+        for message in self.read_messages(self.parser.feed(data)):
+            if self.is_closing:
                 break
-            self.callers.received(self, message)
+            self.front.handle_message(self, message)
 
     def eof_received(self) -> bool:
         """True keeps it open for the answers that are owed; the sweep closes it after them."""
@@ -306,4 +312,4 @@
         return not self.set_ups and not self.standing
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.callers.lost(self)
+        self.front.connection_closed(self)
--- a/rowanmast/net/jsonlines.py
+++ b/rowanmast/net/jsonlines.py
@@ -9,10 +9,10 @@
 import ujson
 
 from rowanmast import interface as api
-from rowanmast.causes import NOTES
-from rowanmast.settings import parse_load
+from rowanmast.causes import CAUSE_BY_NOTE
+from rowanmast.settings import parse_load_report
 
-MAX_MESSAGE = 16 * 1024
+MAX_LINE_BYTES = 16 * 1024
 
 
 class LineError(ValueError):
@@ -29,11 +29,11 @@
 
     @property
     def cause(self) -> api.Cause | None:
-        return NOTES.get(str(self.attrs.get("note")))
+        return CAUSE_BY_NOTE.get(str(self.attrs.get("note")))
 
     @property
-    def report(self) -> api.Report:
-        return parse_load(str(self.attrs.get("load", "")))
+    def report(self) -> api.LoadReport:
+        return parse_load_report(str(self.attrs.get("load", "")))
 
 
 class Parser:
@@ -46,15 +46,15 @@
         """The lines that are whole now; after them, LineError if the stream can't be read on."""
         *whole, self.buffer = (self.buffer + data).split(b"\n")
         for line in whole:
-            if len(line) > MAX_MESSAGE:
+            if len(line) > MAX_LINE_BYTES:
                 raise LineError("line over 16 KiB")
             if line.strip():
-                yield read(line)
-        if len(self.buffer) > MAX_MESSAGE:
+                yield decode(line)
+        if len(self.buffer) > MAX_LINE_BYTES:
             raise LineError("line over 16 KiB")
 
 
-def read(line: bytes) -> Line:
+def decode(line: bytes) -> Line:
     try:
         fields = ujson.loads(line)
     except ValueError:
@@ -70,6 +70,6 @@
     return Line(fields["msg"], sid, attrs, code, text)
 
 
-def write(msg: str, sid: str, attrs: dict[str, str], **more: str | int) -> bytes:
+def encode(msg: str, sid: str, attrs: dict[str, str], **more: str | int) -> bytes:
     fields = {"msg": msg, "sid": sid, "attrs": attrs, **more}
     return ujson.dumps(fields, ensure_ascii=False, escape_forward_slashes=False).encode() + b"\n"
--- a/rowanmast/net/logs.py
+++ b/rowanmast/net/logs.py
@@ -5,11 +5,13 @@
 import logging
 import sys
 
-EMBEDDED = "rowanmast:"  # the threads of embedded routers are named so, followed by the router's name
-PLAIN = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
+EMBEDDED_THREAD_PREFIX = (
+    "rowanmast:"  # the threads of embedded routers are named so, followed by the router's name
+)
+STANDARD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
 
 
-def quoted(value: object) -> str:
+def quote_value(value: object) -> str:
     text = str(value)
     if text and not any(char in text for char in ' "=\n\r\\'):
         return text
@@ -25,12 +27,12 @@
             "part": record.name.removeprefix("rowanmast."),
             "event": record.getMessage(),
         }
-        if (record.threadName or "").startswith(EMBEDDED):
-            pairs["router"] = str(record.threadName).removeprefix(EMBEDDED)
-        pairs |= {key: value for key, value in vars(record).items() if key not in PLAIN}
+        if (record.threadName or "").startswith(EMBEDDED_THREAD_PREFIX):
+            pairs["router"] = str(record.threadName).removeprefix(EMBEDDED_THREAD_PREFIX)
+        pairs |= {key: value for key, value in vars(record).items() if key not in STANDARD_ATTRIBUTES}
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={quoted(value)}" for key, value in pairs.items())
+        return " ".join(f"{key}={quote_value(value)}" for key, value in pairs.items())
 
 
 class OfRouter(logging.Filter):
@@ -38,13 +40,13 @@
 
     def __init__(self, name: str) -> None:
         super().__init__()
-        self.thread = EMBEDDED + name
+        self.thread_name = EMBEDDED_THREAD_PREFIX + name
 
     def filter(self, record: logging.LogRecord) -> bool:
-        return record.threadName == self.thread
+        return record.threadName == self.thread_name
 
 
-def set_up(name: str) -> None:
+def configure_logging(name: str) -> None:
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=logging.INFO, handlers=[handler])
--- a/rowanmast/net/peer_connection.py
+++ b/rowanmast/net/peer_connection.py
@@ -16,17 +16,19 @@
 from rowanmast.addresses.order import Endpoint
 from rowanmast.core.ports import Attempt
 from rowanmast.net import jsonlines
+from rowanmast.net.input_queue import now_us
 from rowanmast.net.stream import Stream
-from rowanmast.net.turn import now_us
 
 if TYPE_CHECKING:
-    from rowanmast.net.peers import PeerLink
+    from rowanmast.net.peers import JsonSwitchLink
 
-MAX_UNREAD = 1024 * 1024  # bytes a switch may leave unread before its connection is closed
-STOPPED_S = 0.25  # a line that was begun goes on within this time, or its connection is of no more use
+MAX_WRITE_BUFFER_BYTES = 1024 * 1024  # bytes a switch may leave unread before its connection is closed
+PARTIAL_LINE_TIMEOUT_S = (
+    0.25  # a line that was begun goes on within this time, or its connection is of no more use
+)
 # A machine that vanishes or is cut off leaves its connections open and silent, and the kernel's own repeats
 # back off for minutes, also when it is back. So one that acknowledges nothing for 3 s is given up.
-SILENCE = (
+KEEPALIVE_OPTIONS = (
     (IPPROTO_TCP, TCP_USER_TIMEOUT, 3000),
     (SOL_SOCKET, SO_KEEPALIVE, 1),
     (IPPROTO_TCP, TCP_KEEPIDLE, 2),
@@ -34,52 +36,54 @@
 )
 
 
-class Connection(Stream):
+class SwitchConnection(Stream):
     """One connection to a switch."""
 
-    def __init__(self, link: PeerLink) -> None:
-        super().__init__(link.exchange, MAX_UNREAD)
+    def __init__(self, link: JsonSwitchLink) -> None:
+        super().__init__(link.exchange, MAX_WRITE_BUFFER_BYTES)
         self.link = link
         self.number = 0
         self.parser = jsonlines.Parser()
-        self.out: dict[str, Attempt] = {}
-        self.begun = self.heard_at = now_us()
+        self.in_flight: dict[str, Attempt] = {}
+        self.opened_at = self.heard_at = now_us()
         self.endpoint: Endpoint | None = None  # to which it goes, where the switch has several
-        self.behind_since = 0
-        self.greeted = False  # a state has come on it
-        self.stopped: asyncio.TimerHandle | None = None
+        self.lagging_since = 0
+        self.status_received = False  # a state has come on it
+        self.partial_line_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         socket = transport.get_extra_info("socket")
         if socket is not None:
-            for level, option, value in SILENCE:
+            for level, option, value in KEEPALIVE_OPTIONS:
                 socket.setsockopt(level, option, value)
-        self.link.connected(self)
+        self.link.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        for line in self.readable(self.parser.feed(data)):
+        for line in self.read_messages(self.parser.feed(data)):
             self.heard_at = now_us()
-            self.link.heard(self)
-            self.link.received(self, line)
-        self.await_rest()
+            self.link.record_activity(self)
+            self.link.handle_line(self, line)
+        self.restart_partial_line_timer()
 
-    def await_rest(self) -> None:
+    def restart_partial_line_timer(self) -> None:
         """A line that stops short never ends, and nothing comes behind it."""
-        if self.stopped is not None:
-            self.stopped.cancel()
-            self.stopped = None
-        if self.parser.buffer and not self.closing:
+        if self.partial_line_timer is not None:
+            self.partial_line_timer.cancel()
+            self.partial_line_timer = None
+        if self.parser.buffer and not self.is_closing:
             loop = asyncio.get_running_loop()
-            self.stopped = loop.call_later(STOPPED_S, self.unreadable, "a line stopped short")
+            self.partial_line_timer = loop.call_later(
+                PARTIAL_LINE_TIMEOUT_S, self.close_unreadable, "a line stopped short"
+            )
 
-    def unreadable(self, why: object) -> None:
+    def close_unreadable(self, why: object) -> None:
         """From here on nothing is sent on it, though the close itself takes effect a turn later."""
-        self.link.lost(self, "unreadable")
-        super().unreadable(why)
+        self.link.connection_closed(self, "unreadable")
+        super().close_unreadable(why)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.stopped is not None:
-            self.stopped.cancel()
+        if self.partial_line_timer is not None:
+            self.partial_line_timer.cancel()
         why = "removed" if self.link.closed else "closed_by_switch" if exc is None else type(exc).__name__
-        self.link.lost(self, why)
+        self.link.connection_closed(self, why)
--- a/rowanmast/net/sip.py
+++ b/rowanmast/net/sip.py
@@ -6,12 +6,19 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-MAX_MESSAGE = 16 * 1024
-COMPACT = {"i": "call-id", "l": "content-length", "v": "via", "f": "from", "t": "to", "c": "content-type"}
-ECHOED = {"via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq"}
-FOLD = (" ", "\t")
-BLANK = re.compile(rb"[\r\n]*")  # RFC 3261, 7.5: empty lines between messages
-REASONS = {
+MAX_MESSAGE_BYTES = 16 * 1024
+COMPACT_FORMS = {
+    "i": "call-id",
+    "l": "content-length",
+    "v": "via",
+    "f": "from",
+    "t": "to",
+    "c": "content-type",
+}
+ECHOED_HEADERS = {"via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq"}
+FOLD_CHARACTERS = (" ", "\t")
+BLANK_LINES = re.compile(rb"[\r\n]*")  # RFC 3261, 7.5: empty lines between messages
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     480: "Temporarily Unavailable",
@@ -34,19 +41,19 @@
     uri: str
     status: int
     headers: list[tuple[str, str]]  # names in lower case, in long form
-    fields: dict[str, str]  # the first value of each header
+    first_values: dict[str, str]  # the first value of each header
     body: bytes = b""
 
     def get(self, name: str, default: str = "") -> str:
-        return self.fields.get(name, default)
+        return self.first_values.get(name, default)
 
     @property
     def call_id(self) -> str:
-        return self.fields.get("call-id", "")
+        return self.first_values.get("call-id", "")
 
     @property
     def cseq_method(self) -> str:
-        return self.fields.get("cseq", "").rpartition(" ")[2]
+        return self.first_values.get("cseq", "").rpartition(" ")[2]
 
     @property
     def user(self) -> str:
@@ -64,16 +71,16 @@
         """The messages that are whole now; after them, SipError if the stream can't be read on."""
         buffer, at = self.buffer + data, 0
         while True:
-            blank = BLANK.match(buffer, at)
+            blank = BLANK_LINES.match(buffer, at)
             at = blank.end() if blank else at
-            end = buffer.find(b"\r\n\r\n", at, at + MAX_MESSAGE)
+            end = buffer.find(b"\r\n\r\n", at, at + MAX_MESSAGE_BYTES)
             if end < 0:
-                if len(buffer) - at >= MAX_MESSAGE:
+                if len(buffer) - at >= MAX_MESSAGE_BYTES:
                     raise SipError("message over 16 KiB")
                 break
-            message, length = read_head(buffer[at:end])
+            message, length = parse_head(buffer[at:end])
             body = end + 4
-            if body + length - at > MAX_MESSAGE:
+            if body + length - at > MAX_MESSAGE_BYTES:
                 raise SipError("message over 16 KiB")
             if len(buffer) < body + length:
                 break
@@ -83,7 +90,7 @@
         self.buffer = buffer[at:]
 
 
-def read_head(head: bytes) -> tuple[Message, int]:
+def parse_head(head: bytes) -> tuple[Message, int]:
     """The message without its body, and the length of that in bytes."""
     try:
         first, *lines = head.decode().split("\r\n")
@@ -92,7 +99,7 @@
     headers: list[tuple[str, str]] = []
     fields: dict[str, str] = {}
     for line in lines:
-        if line[:1] in FOLD and headers:  # a folded header
+        if line[:1] in FOLD_CHARACTERS and headers:  # a folded header
             name, value = headers[-1]
             headers[-1] = (name, f"{value} {line.strip()}")
             if fields[name] == value:
@@ -102,7 +109,7 @@
         name = name.strip().lower()
         if not (colon and name):
             raise SipError("a header without a colon")
-        name = COMPACT.get(name, name)
+        name = COMPACT_FORMS.get(name, name)
         value = value.strip()
         headers.append((name, value))
         if fields.setdefault(name, value) != value and name == "content-length":
@@ -120,21 +127,23 @@
     return Message(parts[0], parts[1], 0, headers, fields), int(length)
 
 
-def write(first: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
+def encode(first: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
     lines = [first, *(f"{name}: {value}" for name, value in headers), f"Content-Length: {len(body)}"]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def respond(request: Message, status: int, extra: Iterable[tuple[str, str]] = (), body: bytes = b"") -> bytes:
-    echoed = [(ECHOED[name], value) for name, value in request.headers if name in ECHOED]
-    return write(f"SIP/2.0 {status} {REASONS[status]}", [*echoed, *extra], body)
+def encode_response(
+    request: Message, status: int, extra: Iterable[tuple[str, str]] = (), body: bytes = b""
+) -> bytes:
+    echoed = [(ECHOED_HEADERS[name], value) for name, value in request.headers if name in ECHOED_HEADERS]
+    return encode(f"SIP/2.0 {status} {REASON_PHRASES[status]}", [*echoed, *extra], body)
 
 
-def bye(call: str, cause: int) -> bytes:
+def encode_bye(call: str, cause: int) -> bytes:
     headers = (
         ("Via", "SIP/2.0/TCP rowanmast"),
         ("Call-ID", call),
         ("CSeq", "2 BYE"),
         ("Reason", f"Q.850;cause={cause}"),
     )
-    return write(f"BYE sip:{call}@net SIP/2.0", headers)
+    return encode(f"BYE sip:{call}@net SIP/2.0", headers)
--- a/rowanmast/net/stream.py
+++ b/rowanmast/net/stream.py
@@ -15,34 +15,34 @@
 class Stream(asyncio.Protocol):
     """A connection whose other side may leave `most_unread` bytes unread before it is closed."""
 
-    def __init__(self, other_side: str, most_unread: int) -> None:
-        self.other_side = other_side
-        self.most_unread = most_unread
+    def __init__(self, peer_name: str, max_write_buffer: int) -> None:
+        self.peer_name = peer_name
+        self.max_write_buffer = max_write_buffer
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        self.transport.set_write_buffer_limits(high=self.most_unread)
+        self.transport.set_write_buffer_limits(high=self.max_write_buffer)
 
     def pause_writing(self) -> None:
         """The bound is reached: the connection is given up before it costs more memory."""
-        log.warning("slow_reader", extra={"other_side": self.other_side})
+        log.warning("slow_reader", extra={"other_side": self.peer_name})
         if self.transport is not None:
             self.transport.abort()
 
-    def readable(self, messages: Iterator[Message]) -> Iterator[Message]:
+    def read_messages(self, messages: Iterator[Message]) -> Iterator[Message]:
         """Whole messages as a parser finds them; where one can't be read, the connection is closed."""
         try:
             yield from messages
         except ValueError as error:
-            self.unreadable(error)
+            self.close_unreadable(error)
 
-    def unreadable(self, why: object) -> None:
-        log.warning("unreadable", extra={"other_side": self.other_side, "why": why})
+    def close_unreadable(self, why: object) -> None:
+        log.warning("unreadable", extra={"other_side": self.peer_name, "why": why})
         self.close()
 
     @property
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         return self.transport is None or self.transport.is_closing()
 
     def write(self, data: bytes) -> None:
--- a/rowanmast/options/reader.py
+++ b/rowanmast/options/reader.py
@@ -9,12 +9,19 @@
 from google.protobuf import text_format
 
 from rowanmast import vrrp
-from rowanmast.addresses.order import MOST, Endpoint, EndpointError, Family, Preference, read_endpoint
+from rowanmast.addresses.order import (
+    MAX_ADDRESSES,
+    Endpoint,
+    EndpointError,
+    Family,
+    Preference,
+    read_endpoint,
+)
 from rowanmast.config import ConfigError, IaxConfig, PairConfig
 from rowanmast.embed.admission import Bounds
 from rowanmast.options import settings_pb2 as schema
 
-MAX_FILE = 1024 * 1024  # bytes; a settings file is some lines
+MAX_FILE_CHARS = 1024 * 1024  # bytes; a settings file is some lines
 Address = tuple[str, int]
 
 
@@ -29,22 +36,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
+class SettingsText:
     """A settings file's text, to say where in it a field stands."""
 
     name: str
     text: str
 
-    def error(self, field: str, wrong: str) -> ConfigError:
+    def error(self, field: str, problem: str) -> ConfigError:
         """`field` as in iax.switches[1].address; the line is that of the field, or of what should hold it."""
-        lines = dict(locate(self.text))
+        lines = dict(field_lines(self.text))
         at = field
         while at and at not in lines:
             at = at.rpartition(".")[0]
-        return ConfigError(f"{self.name}:{lines.get(at, 1)}: {field}: {wrong}")
+        return ConfigError(f"{self.name}:{lines.get(at, 1)}: {field}: {problem}")
 
 
-def locate(text: str) -> Iterator[tuple[str, int]]:
+def field_lines(text: str) -> Iterator[tuple[str, int]]:
     """Each field's path and line. The text has been parsed before, so its form is right."""
     tokens = text_format.Tokenizer(text.splitlines())
     stack: list[tuple[str, dict[str, int]]] = [("", {})]
@@ -75,12 +82,12 @@
     """The settings in a file. Raises ConfigError."""
     try:
         with open(path, encoding="utf-8") as file:
-            text = file.read(MAX_FILE + 1)
+            text = file.read(MAX_FILE_CHARS + 1)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
         raise ConfigError(f"{path}: not UTF-8 text") from None
-    if len(text) > MAX_FILE:
+    if len(text) > MAX_FILE_CHARS:
         raise ConfigError(f"{path}: over 1 MiB")
     return parse_options(text, path)
 
@@ -94,20 +101,20 @@
         line, words = error.GetLine() or 1, str(error)
         words = words.partition(" : ")[2] or words
         raise ConfigError(f"{name}:{line}: {words.strip()}") from None
-    source = Source(name, text)
+    source = SettingsText(name, text)
     iax = read_iax(message.iax, source) if message.HasField("iax") else None
     addresses = read_addresses(message, source)
-    return Options(iax, read_bounds(message.embedded, source), addresses, read_families(message, source))
+    return Options(iax, read_bounds(message.embedded, source), addresses, read_preference(message, source))
 
 
-def read_addresses(message: schema.Settings, source: Source) -> dict[str, tuple[Endpoint, ...]]:
+def read_addresses(message: schema.Settings, source: SettingsText) -> dict[str, tuple[Endpoint, ...]]:
     found: dict[str, tuple[Endpoint, ...]] = {}
     for at, switch in enumerate(message.switches):
         field = f"switches[{at}]"
         if not switch.exchange or switch.exchange in found:
             raise source.error(f"{field}.exchange", "give the switch's name in the change log, each once")
-        if not 1 <= len(switch.addresses) <= MOST:
-            raise source.error(f"{field}.addresses", f"give 1 to {MOST} addresses")
+        if not 1 <= len(switch.addresses) <= MAX_ADDRESSES:
+            raise source.error(f"{field}.addresses", f"give 1 to {MAX_ADDRESSES} addresses")
         try:
             found[switch.exchange] = tuple(map(read_endpoint, switch.addresses))
         except EndpointError as error:
@@ -115,7 +122,7 @@
     return found
 
 
-def read_families(message: schema.Settings, source: Source) -> Preference:
+def read_preference(message: schema.Settings, source: SettingsText) -> Preference:
     if not message.families:
         return Preference()
     known = {family.value: family for family in Family}
@@ -125,7 +132,7 @@
     return Preference(tuple(known[name] for name in message.families))
 
 
-def read_iax(iax: schema.Iax, source: Source) -> IaxConfig:
+def read_iax(iax: schema.Iax, source: SettingsText) -> IaxConfig:
     switches: dict[str, Address] = {}
     for at, switch in enumerate(iax.switches):
         field = f"iax.switches[{at}]"
@@ -133,14 +140,14 @@
             raise source.error(f"{field}.exchange", "is missing: the switch's name in the change log")
         if switch.exchange in switches:
             raise source.error(f"{field}.exchange", f"{switch.exchange!r} stands here a second time")
-        switches[switch.exchange] = address(switch.address, f"{field}.address", source)
+        switches[switch.exchange] = parse_address(switch.address, f"{field}.address", source)
     pair = read_pair(iax.vrrp, source) if iax.HasField("vrrp") else None
-    return IaxConfig(address(iax.listen, "iax.listen", source), switches, pair)
+    return IaxConfig(parse_address(iax.listen, "iax.listen", source), switches, pair)
 
 
-def read_pair(pair: schema.Vrrp, source: Source) -> PairConfig:
+def read_pair(pair: schema.Vrrp, source: SettingsText) -> PairConfig:
     interval = pair.interval_cs if pair.HasField("interval_cs") else 100
-    for field, value, most in (("vrid", pair.vrid, 255), ("priority", pair.priority, vrrp.OWNER)):
+    for field, value, most in (("vrid", pair.vrid, 255), ("priority", pair.priority, vrrp.PRIORITY_OWNER)):
         if not 1 <= value <= most:
             raise source.error(f"iax.vrrp.{field}", f"{value} does not lie between 1 and {most}")
     if not 1 <= interval <= 4095:
@@ -150,8 +157,8 @@
     except AddressValueError:
         raise source.error("iax.vrrp.address", f"{pair.address!r} is no IPv4 address") from None
     return PairConfig(
-        address(pair.listen, "iax.vrrp.listen", source),
-        address(pair.peer, "iax.vrrp.peer", source),
+        parse_address(pair.listen, "iax.vrrp.listen", source),
+        parse_address(pair.peer, "iax.vrrp.peer", source),
         vrrp.Parameters(
             vrid=pair.vrid,
             priority=pair.priority,
@@ -162,7 +169,7 @@
     )
 
 
-def read_bounds(embedded: schema.Embedded, source: Source) -> Bounds:
+def read_bounds(embedded: schema.Embedded, source: SettingsText) -> Bounds:
     usual = Bounds()
     max_open = embedded.max_open if embedded.HasField("max_open") else usual.max_open
     standing = embedded.max_standing if embedded.HasField("max_standing") else usual.max_standing
@@ -174,7 +181,7 @@
     return Bounds(max_open=max_open, max_standing=standing, collect_us=collect)
 
 
-def address(text: str, field: str, source: Source) -> Address:
+def parse_address(text: str, field: str, source: SettingsText) -> Address:
     """host:port, with a port from 1 to 65535."""
     host, _, port = text.rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 1 <= int(port) <= 65535):
--- a/rowanmast/routes.py
+++ b/rowanmast/routes.py
@@ -5,7 +5,7 @@
 from rowanmast.core.ports import Route
 
 
-def figure(text: str) -> int:
+def parse_integer(text: str) -> int:
     """A whole number of up to nine digits; `int` alone also takes 1_000 and digits of any script."""
     digits = text.removeprefix("-")
     if not (digits.isascii() and digits.isdigit() and len(digits) <= 9):
@@ -13,7 +13,7 @@
     return int(text)
 
 
-def read_route(text: str, redialled: bool = False) -> Route:
+def parse_route(text: str, redialled: bool = False) -> Route:
     """The route in such figures; `redialled` where the wire says that elsewhere. Raises ValueError."""
     figures: dict[str, int] = {}
     for part in text.split(";"):
@@ -22,7 +22,7 @@
         name, colon, value = part.strip().partition(":")
         if not colon:
             raise ValueError(f"route figure {part[:20]!r} has no value")
-        figures[name.strip()] = figure(value.strip())
+        figures[name.strip()] = parse_integer(value.strip())
     if "dest" not in figures:
         raise ValueError("the route names no destination")
     if figures["dest"] < 0 or figures.get("width", 1) < 1:
