--- a/rowanmast/vrrp.py
+++ b/rowanmast/vrrp.py
@@ -16,8 +16,8 @@
 from typing import cast
 
 CENTISECOND = 10_000
-OWNER = 255  # priority of the router that owns the address
-LEAVING = 0  # priority of an Active router's last word
+PRIORITY_OWNER = 255  # priority of the router that owns the address
+PRIORITY_STOPPED = 0  # priority of an Active router's last word
 HEADER = struct.Struct("!BBBBHH")
 VERSION_TYPE = 0x31  # version 3, advertisement
 
@@ -46,14 +46,14 @@
     return ~total & 0xFFFF
 
 
-def write(advert: Advert) -> bytes:
+def encode(advert: Advert) -> bytes:
     address = IPv4Address(advert.address).packed
     fields = (VERSION_TYPE, advert.vrid, advert.priority, 1, advert.interval)
     bare = HEADER.pack(*fields, 0) + address
     return HEADER.pack(*fields, checksum(bare)) + address
 
 
-def read(data: bytes) -> Advert:
+def decode(data: bytes) -> Advert:
     if len(data) < HEADER.size:
         raise AdvertError("shorter than a header")
     version_type, vrid, priority, count, interval, _ = HEADER.unpack_from(data)
@@ -82,19 +82,19 @@
     preempt: bool = True
 
 
-class Machine:
+class StateMachine:
     """The states of RFC 9568, section 6.4. What it sends is left in `outbox`."""
 
     def __init__(self, parameters: Parameters, primary: Address) -> None:
         self.parameters = parameters
-        self.primary = rank(primary)
+        self.own_rank = address_rank(primary)
         self.state = State.INITIALIZE
         self.active_interval = parameters.interval  # of the Active router, as its adverts say
-        self.due: int | None = None  # Adver_Timer when active, Active_Down_Timer when backup
+        self.timer_at: int | None = None  # Adver_Timer when active, Active_Down_Timer when backup
         self.outbox: list[Advert] = []
 
     def startup(self, now: int) -> None:
-        if self.parameters.priority == OWNER:
+        if self.parameters.priority == PRIORITY_OWNER:
             self.become_active(now)
         else:
             self.active_interval = self.parameters.interval
@@ -102,11 +102,11 @@
 
     def shutdown(self) -> None:
         if self.state is State.ACTIVE:
-            self.send(LEAVING)
-        self.state, self.due = State.INITIALIZE, None
+            self.send(PRIORITY_STOPPED)
+        self.state, self.timer_at = State.INITIALIZE, None
 
-    def expire(self, now: int) -> None:
-        if self.due is not None and now >= self.due:
+    def on_timer(self, now: int) -> None:
+        if self.timer_at is not None and now >= self.timer_at:
             self.become_active(now)  # or stay so, and say it again
 
     def receive(self, now: int, advert: Advert, sender: Address) -> None:
@@ -114,29 +114,32 @@
             return
         own = self.parameters.priority
         if self.state is State.BACKUP:
-            if advert.priority == LEAVING:
-                self.due = now + self.skew()
+            if advert.priority == PRIORITY_STOPPED:
+                self.timer_at = now + self.skew_time()
             elif not self.parameters.preempt or advert.priority >= own:
-                self.follow(now, advert)
-        elif advert.priority == LEAVING or (advert.priority, rank(sender)) < (own, self.primary):
+                self.accept_active(now, advert)
+        elif advert.priority == PRIORITY_STOPPED or (advert.priority, address_rank(sender)) < (
+            own,
+            self.own_rank,
+        ):
             self.become_active(now)  # asserts it at once
         else:
-            self.follow(now, advert)
+            self.accept_active(now, advert)
 
     def become_active(self, now: int) -> None:
         self.state = State.ACTIVE
         self.send(self.parameters.priority)
-        self.due = now + self.parameters.interval * CENTISECOND
+        self.timer_at = now + self.parameters.interval * CENTISECOND
 
-    def follow(self, now: int, advert: Advert) -> None:
+    def accept_active(self, now: int, advert: Advert) -> None:
         self.active_interval = advert.interval or self.parameters.interval
         self.become_backup(now)
 
     def become_backup(self, now: int) -> None:
         self.state = State.BACKUP
-        self.due = now + 3 * self.active_interval * CENTISECOND + self.skew()
+        self.timer_at = now + 3 * self.active_interval * CENTISECOND + self.skew_time()
 
-    def skew(self) -> int:
+    def skew_time(self) -> int:
         return (256 - self.parameters.priority) * self.active_interval * CENTISECOND // 256
 
     def send(self, priority: int) -> None:
@@ -144,7 +147,7 @@
         self.outbox.append(Advert(own.vrid, priority, own.interval, own.address))
 
 
-def rank(address: Address) -> tuple[int, int]:
+def address_rank(address: Address) -> tuple[int, int]:
     """Of two routers of one priority, the one with the higher address stays active."""
     return int(IPv4Address(address[0])), address[1]
 
@@ -152,7 +155,7 @@
 class Endpoint(asyncio.DatagramProtocol):
     """Carries the machine's adverts to the one peer, and minds its timer."""
 
-    def __init__(self, machine: Machine, peer: Address, clock: Callable[[], int]) -> None:
+    def __init__(self, machine: StateMachine, peer: Address, clock: Callable[[], int]) -> None:
         self.machine = machine
         self.peer = peer
         self.clock = clock
@@ -162,42 +165,42 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
         self.machine.startup(self.clock())
-        self.settle(State.INITIALIZE)
+        self.flush(State.INITIALIZE)
 
     def datagram_received(self, data: bytes, address: Address) -> None:
         before = self.machine.state
         try:
-            self.machine.receive(self.clock(), read(data), address)
+            self.machine.receive(self.clock(), decode(data), address)
         except AdvertError as error:
             log.warning("bad_advert", extra={"why": error})
-        self.settle(before)
+        self.flush(before)
 
     def error_received(self, exc: Exception) -> None:
         log.info("vrrp_socket", extra={"why": exc})
 
-    def expired(self) -> None:
+    def on_timer(self) -> None:
         before = self.machine.state
-        self.machine.expire(self.clock())
-        self.settle(before)
+        self.machine.on_timer(self.clock())
+        self.flush(before)
 
     def stop(self) -> None:
         before = self.machine.state
         self.machine.shutdown()
-        self.settle(before)
+        self.flush(before)
         if self.transport is not None:
             self.transport.close()
 
-    def settle(self, before: State) -> None:
+    def flush(self, before: State) -> None:
         """Sends what the machine left to send, and arms the timer anew."""
         if self.machine.state is not before:
             log.info("vrrp", extra={"state": self.machine.state.value})
         outbox, self.machine.outbox = self.machine.outbox, []
         for advert in outbox:
             if self.transport is not None:
-                self.transport.sendto(write(advert), self.peer)
+                self.transport.sendto(encode(advert), self.peer)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if self.machine.due is not None:
-            wait = max(self.machine.due - self.clock(), 0) / 1e6
-            self.timer = asyncio.get_running_loop().call_later(wait, self.expired)
+        if self.machine.timer_at is not None:
+            wait = max(self.machine.timer_at - self.clock(), 0) / 1e6
+            self.timer = asyncio.get_running_loop().call_later(wait, self.on_timer)
--- a/rowanmast/wirehost.py
+++ b/rowanmast/wirehost.py
@@ -12,8 +12,8 @@
 from typing import Any, TextIO
 
 from rowanmast import interface as api
-from rowanmast.control import CallAgent
-from rowanmast.settings import index_names, number, read_report, read_settings, whole
+from rowanmast.call_agent import CallAgent
+from rowanmast.settings import index_by_name, integer, optional_number, read_report, read_settings
 
 Fields = dict[str, Any]
 
@@ -23,7 +23,11 @@
     "SAVED": api.ListKind.SAVED,
     "FAILED": api.ListKind.FAILED,
 }
-STATES = {"up": api.State.UP, "draining": api.State.DRAINING, "removed": api.State.GONE}
+STATES = {
+    "up": api.ExchangeState.UP,
+    "draining": api.ExchangeState.DRAINING,
+    "removed": api.ExchangeState.GONE,
+}
 OUTCOMES = {
     "completed": api.Outcome.DONE,
     "errored": api.Outcome.BUSY,
@@ -36,15 +40,15 @@
 }
 CAUSES = {
     1: api.Cause.NO_CIRCUIT,
-    2: api.Cause.TURNED_BACK,
+    2: api.Cause.CRANKBACK,
     3: api.Cause.PROCESSOR_FULL,
     4: api.Cause.LINES_BUSY,
-    18: api.Cause.FULL_BEYOND,
+    18: api.Cause.DESTINATION_FULL,
 }
-REDIALLED, TRANSIT, AGAIN = 2, 8, 16
+MARK_REDIALLED, MARK_TRANSIT, MARK_AGAIN = 2, 8, 16
 
 INT, TEXT, BOOL, LIST, MAP = "an integer", "text", "a boolean", "an array", "an object"
-NEEDED: dict[str, dict[str, str]] = {
+REQUIRED_FIELDS: dict[str, dict[str, str]] = {
     "open_instance": {"who": INT, "entropy": INT, "info": MAP},
     "detach": {"who": INT},
     "define_list": {"ref": INT, "lines": LIST},
@@ -65,20 +69,20 @@
     "health_result": {"who": INT, "exchange": TEXT, "rc": TEXT, "delay_seen_ns": INT},
     "message": {"who": INT, "by": INT},
 }
-OPTIONAL: dict[str, dict[str, str]] = {
+OPTIONAL_FIELDS: dict[str, dict[str, str]] = {
     "sync": {"ref": INT},
     "demand": {"dest": INT, "circuits": INT, "advised_route": INT, "marks": INT, "key": TEXT},
     "settled": {"metrics": MAP, "cause": INT},
     "health_result": {"metrics": MAP},
 }
-ENTRY = {"exchange": TEXT, "place_no": INT, "condition": TEXT}
+ENTRY_FIELDS = {"exchange": TEXT, "place_no": INT, "condition": TEXT}
 
 
-class BadInput(Exception):
+class InputError(Exception):
     """The input breaks the wire's form; the text says how."""
 
 
-def fits(value: Any, kind: str) -> bool:
+def has_type(value: Any, kind: str) -> bool:
     if kind == INT:
         return (isinstance(value, int) and not isinstance(value, bool)) or (
             isinstance(value, float) and value.is_integer()
@@ -86,36 +90,36 @@
     return isinstance(value, {TEXT: str, BOOL: bool, LIST: list, MAP: dict}[kind])
 
 
-def check(name: str, fields: Any) -> Fields:
+def validate(name: str, fields: Any) -> Fields:
     """The event's fields, once every known one is there and of its type."""
     if not isinstance(fields, dict):
-        raise BadInput(f"event {name}: its fields are not an object")
-    for field, kind in NEEDED[name].items():
+        raise InputError(f"event {name}: its fields are not an object")
+    for field, kind in REQUIRED_FIELDS[name].items():
         if field not in fields or fields[field] is None:
-            raise BadInput(f"event {name}: field {field} is missing")
-        if not fits(fields[field], kind):
-            raise BadInput(f"event {name}: field {field} is not {kind}")
-    for field, kind in OPTIONAL.get(name, {}).items():
-        if fields.get(field) is not None and not fits(fields[field], kind):
-            raise BadInput(f"event {name}: field {field} is not {kind}")
+            raise InputError(f"event {name}: field {field} is missing")
+        if not has_type(fields[field], kind):
+            raise InputError(f"event {name}: field {field} is not {kind}")
+    for field, kind in OPTIONAL_FIELDS.get(name, {}).items():
+        if fields.get(field) is not None and not has_type(fields[field], kind):
+            raise InputError(f"event {name}: field {field} is not {kind}")
     return fields
 
 
 def read_entry(line: Any) -> api.ListEntry:
     if not isinstance(line, dict):
-        raise BadInput("event define_list: an entry is not an object")
-    for field, kind in ENTRY.items():
-        if not fits(line.get(field), kind):
-            raise BadInput(f"event define_list: field {field} of an entry is missing or not {kind}")
+        raise InputError("event define_list: an entry is not an object")
+    for field, kind in ENTRY_FIELDS.items():
+        if not has_type(line.get(field), kind):
+            raise InputError(f"event define_list: field {field} of an entry is missing or not {kind}")
     if line["condition"] not in STATES:
-        raise BadInput("event define_list: field condition of an entry is not a known state")
+        raise InputError("event define_list: field condition of an entry is not a known state")
     zone = line.get("failure_domain")
     return api.ListEntry(
         exchange=line["exchange"],
         number=int(line["place_no"]),
         zone=zone if isinstance(zone, str) else None,
         state=STATES[line["condition"]],
-        started_ns=whole(line, "launched_ns") or None,
+        started_ns=integer(line, "launched_ns") or None,
     )
 
 
@@ -126,11 +130,11 @@
         case api.SetUp():
             name = "relay"
             fields = {"op_id": action.call, "timeout_ns": action.timeout_ns, "exchange": action.exchange}
-        case api.TurnAway():
-            name, fields = "reject", {"op_id": action.call, "come_back_ns": action.stay_away_ns}
-        case api.GiveUp():
+        case api.RefuseCall():
+            name, fields = "reject", {"op_id": action.call, "come_back_ns": action.retry_after_ns}
+        case api.FailCall():
             name, fields = "drop_request", {"op_id": action.call}
-        case api.CallOff():
+        case api.CancelAttempt():
             name, fields = "revoke", {"op_id": action.call, "send_no": action.attempt}
         case api.SetTimer():
             name, fields = "set_timer", {"in_ns": action.in_ns, "cookie": action.token}
@@ -138,9 +142,9 @@
             name, fields = "sample", {"exchange": action.exchange}
         case api.Subscribe():
             name, fields = "watch", {"on": True}
-        case api.AskList():
+        case api.RequestList():
             name, fields = "resolve", {}
-        case api.Note():
+        case api.LogMessage():
             name, fields = "emit", {"message": action.text}
     return {name: {"who": who, **fields}}
 
@@ -150,13 +154,13 @@
 
     def __init__(self, info: Fields, seed: int) -> None:
         self.agent = CallAgent(read_settings(info), seed)
-        self.classes = index_names(info.get("services"))
-        self.tenants = index_names(info.get("accounts"))
+        self.classes = index_by_name(info.get("services"))
+        self.tenants = index_by_name(info.get("accounts"))
 
     def read_call(self, fields: Fields) -> api.Call:
         marks = int(fields.get("marks") or 0)
-        width, via = number(fields.get("circuits")), number(fields.get("advised_route"))
-        dest = number(fields.get("dest"))
+        width, via = optional_number(fields.get("circuits")), optional_number(fields.get("advised_route"))
+        dest = optional_number(fields.get("dest"))
         return api.Call(
             call=fields["op_id"],
             klass=self.classes.get(fields["profile"], -1),
@@ -166,47 +170,49 @@
             dest=-1 if dest is None else int(dest),
             width=None if width is None else int(width),
             advised=None if via is None else int(via),
-            redialled=bool(marks & REDIALLED),
-            transit=bool(marks & TRANSIT),
-            again=bool(marks & AGAIN),
+            redialled=bool(marks & MARK_REDIALLED),
+            transit=bool(marks & MARK_TRANSIT),
+            again=bool(marks & MARK_AGAIN),
         )
 
 
-def read_ended(fields: Fields) -> api.Ended:
+def read_ended(fields: Fields) -> api.AttemptEnded:
     cause = int(fields.get("cause") or 0)
     if fields["rc"] not in OUTCOMES:
-        raise BadInput("event settled: field rc is not a known outcome")
+        raise InputError("event settled: field rc is not a known outcome")
     wait = cause >> 4 if cause & 15 == 3 else 0
-    return api.Ended(
+    return api.AttemptEnded(
         call=fields["op_id"],
         attempt=int(fields["send_no"]),
         exchange=fields["exchange"],
         outcome=OUTCOMES[fields["rc"]],
         cause=CAUSES.get(3 if wait else cause),
-        wait_ns=wait * 1_000_000 or None,
+        retry_after_ns=wait * 1_000_000 or None,
         final=fields["terminal"],
         delay_ns=int(fields["delay_seen_ns"]),
         report=read_report(fields.get("metrics")),
     )
 
 
-def read_stands(fields: Fields) -> api.Stands:
-    return api.Stands(
+def read_answered(fields: Fields) -> api.CallAnswered:
+    return api.CallAnswered(
         fields["op_id"], int(fields["send_no"]), fields["exchange"], int(fields["delay_seen_ns"])
     )
 
 
-def read_reported(fields: Fields) -> api.Reported:
+def read_load_reported(fields: Fields) -> api.LoadReported:
     report = read_report(fields.get("metrics"))
-    return api.Reported(fields["exchange"], fields["rc"] == "completed", int(fields["delay_seen_ns"]), report)
+    return api.LoadReported(
+        fields["exchange"], fields["rc"] == "completed", int(fields["delay_seen_ns"]), report
+    )
 
 
-READERS: dict[str, Callable[[Fields], api.Event]] = {
-    "accepted": read_stands,
+EVENT_DECODERS: dict[str, Callable[[Fields], api.Event]] = {
+    "accepted": read_answered,
     "settled": read_ended,
-    "hangup": lambda fields: api.HungUp(fields["op_id"]),
-    "reminder": lambda fields: api.TimerDue(fields["cookie"]),
-    "health_result": read_reported,
+    "hangup": lambda fields: api.CallerHungUp(fields["op_id"]),
+    "reminder": lambda fields: api.TimerExpired(fields["cookie"]),
+    "health_result": read_load_reported,
 }
 
 
@@ -217,25 +223,25 @@
         self.instances: dict[int, Instance] = {}
         self.lists: dict[int, tuple[api.ListEntry, ...]] = {}
 
-    def batch(self, line: str) -> str:
+    def handle_batch(self, line: str) -> str:
         try:
             batch = json.loads(line)
         except ValueError:
-            raise BadInput("not JSON") from None
-        if not isinstance(batch, dict) or not fits(batch.get("t_ns"), INT):
-            raise BadInput("not a batch: t_ns is missing or not an integer")
+            raise InputError("not JSON") from None
+        if not isinstance(batch, dict) or not has_type(batch.get("t_ns"), INT):
+            raise InputError("not a batch: t_ns is missing or not an integer")
         if not isinstance(batch.get("events"), list):
-            raise BadInput("not a batch: events is missing or not an array")
+            raise InputError("not a batch: events is missing or not an array")
         decisions: list[Fields] = []
         for event in batch["events"]:
             if not isinstance(event, dict) or len(event) != 1:
-                raise BadInput("an event is not an object with one name")
+                raise InputError("an event is not an object with one name")
             ((name, fields),) = event.items()
-            if name in NEEDED:
-                self.event(int(batch["t_ns"]), name, check(name, fields), decisions)
+            if name in REQUIRED_FIELDS:
+                self.handle_event(int(batch["t_ns"]), name, validate(name, fields), decisions)
         return json.dumps({"decisions": decisions}, separators=(",", ":"))
 
-    def event(self, now_ns: int, name: str, fields: Fields, decisions: list[Fields]) -> None:
+    def handle_event(self, now_ns: int, name: str, fields: Fields, decisions: list[Fields]) -> None:
         if name == "define_list":
             self.lists[fields["ref"]] = tuple(read_entry(line) for line in fields["lines"])
             return
@@ -243,7 +249,7 @@
         if name == "detach":
             self.instances.pop(who, None)
             return
-        event = None if name == "open_instance" else self.read(name, who, fields)
+        event = None if name == "open_instance" else self.decode_event(name, who, fields)
         try:
             if name == "open_instance":
                 self.instances[who] = Instance(fields["info"], int(fields["entropy"]))
@@ -253,7 +259,7 @@
         except Exception as error:
             decisions.append({"give_in": {"who": who, "message": f"{type(error).__name__}: {error}"}})
 
-    def read(self, name: str, who: int, fields: Fields) -> api.Event | None:
+    def decode_event(self, name: str, who: int, fields: Fields) -> api.Event | None:
         instance = self.instances.get(who)
         if instance is None:
             return None
@@ -261,16 +267,16 @@
             return instance.read_call(fields)
         if name == "sync":
             return self.read_list(fields)
-        return READERS[name](fields) if name in READERS else None
+        return EVENT_DECODERS[name](fields) if name in EVENT_DECODERS else None
 
     def read_list(self, fields: Fields) -> api.ExchangeList:
         if fields["how"] not in LIST_KINDS:
-            raise BadInput("event sync: field how is not a known kind")
+            raise InputError("event sync: field how is not a known kind")
         kind = LIST_KINDS[fields["how"]]
         if kind is api.ListKind.FAILED:
             return api.ExchangeList(kind, ())
         if fields.get("ref") not in self.lists:
-            raise BadInput("event sync: field ref names no list")
+            raise InputError("event sync: field ref names no list")
         return api.ExchangeList(kind, self.lists[fields["ref"]])
 
 
@@ -278,8 +284,8 @@
     host = Host()
     for count, line in enumerate(source, 1):
         try:
-            reply = host.batch(line)
-        except BadInput as error:
+            reply = host.handle_batch(line)
+        except InputError as error:
             print(f"line {count}: {error}", file=errors)
             return 1
         sink.write(reply + "\n")
