--- a/tools/api_reference.py
+++ b/tools/api_reference.py
@@ -10,8 +10,8 @@
 
 from rowanmast import embed, middleware
 
-PAGE = Path(__file__).resolve().parent.parent / "docs" / "api.md"
-HEAD = """# API of the library
+PAGE_PATH = Path(__file__).resolve().parent.parent / "docs" / "api.md"
+PAGE_HEADER = """# API of the library
 
 Made by `make api` from the code; a test holds the two together. How to use it: `embedding.md`.
 """
@@ -58,7 +58,7 @@
 
 
 def page() -> str:
-    lines = [HEAD]
+    lines = [PAGE_HEADER]
     for module in (embed, middleware):
         lines += [f"## `{module.__name__}`", ""]
         for name in sorted(module.__all__):
@@ -67,4 +67,4 @@
 
 
 if __name__ == "__main__":
-    PAGE.write_text(page(), encoding="utf-8")
+    PAGE_PATH.write_text(page(), encoding="utf-8")
