--- a/benchmarks/bare_ledger.py
+++ b/benchmarks/bare_ledger.py
@@ -1,7 +1,7 @@
-"""The ledger and the decisions without sockets: processor time a call, in virtual time.
+"""Measures the processor time per call of the ledger and the decisions, without sockets, in simulated time.
 
-Every call is offered, set up, answered after 20 ms and over after 1.5 s. The clock is a number that the
-driver moves in turns of 1 ms, so the figure is processor time alone, whatever else the machine does.
+Every call is offered, set up, answered after 20 ms and released after 1.5 s. The driver advances the clock in
+turns of 1 ms, so the figure is processor time alone and does not depend on the machine's other load.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 
 def settings() -> api.Settings:
-    """One class of call, as a site of sorting centres has it: 1.5 s wanted, 9 s to give up."""
+    """One class of call with an objective of 1.5 s and a hard limit of 9 s, as at a typical site."""
     return replace(read_settings(settings_document()), agents=8)
 
 
 @dataclass
 class CountingFront:
-    """Counts the answers."""
+    """A front that counts the answers."""
 
     survives_restart: bool = True
     stood: int = 0
@@ -57,7 +57,7 @@
 
 @dataclass
 class AcceptingLink:
-    """A switch that takes everything; `sent` is shared by all links, in order of time."""
+    """A link to a switch that accepts everything; `sent` is shared by all links and ordered by time."""
 
     sent: deque[Attempt]
     survives_restart: bool = True
@@ -77,6 +77,8 @@
 
 @dataclass
 class Measurement:
+    """The result of one run; `cpu_s` is the processor time of `calls`."""
+
     switches: int
     rate: int
     calls: int
@@ -89,7 +91,7 @@
 
 
 def measure(switches: int, rate: int, warm_s: float = 10.0, span_s: float = 5.0) -> Measurement:
-    """Processor time of the calls of `span_s`, after `warm_s` at the same rate; `rate` is calls a second."""
+    """Measures the processor time of `span_s` at `rate` calls a second, after `warm_s` at the same rate."""
     sent: deque[Attempt] = deque()
     front = CountingFront()
     links = {f"s{number}": AcceptingLink(sent) for number in range(1, switches + 1)}
@@ -97,18 +99,18 @@
         api.ListEntry(f"s{n}", n, None, api.ExchangeState.UP, None) for n in range(1, switches + 1)
     )
     ledger = Ledger(settings(), {"plain": 0}, CallAgent(settings(), 7), links, front)
-    full = api.LoadReport(free_circuits=1e6, group_size=1e6)
-    told: list[Input] = [api.ExchangeList(api.ListKind.FULL, entries)]
-    told += [api.LoadReported(exchange, True, 0, full) for exchange in links]
+    idle_report = api.LoadReport(free_circuits=1e6, group_size=1e6)
+    initial_inputs: list[Input] = [api.ExchangeList(api.ListKind.FULL, entries)]
+    initial_inputs += [api.LoadReported(exchange, True, 0, idle_report) for exchange in links]
     now = START_US
-    ledger.turn(now, told)
+    ledger.run_turn(now, initial_inputs)
     standing: deque[tuple[int, Attempt]] = deque()
-    serial = itertools.count()
+    call_serial = itertools.count()
     offered = 0
     marks: list[tuple[float, int]] = []
     for at_s in (warm_s, warm_s + span_s):
         end = START_US + int(at_s * SECOND_US)
-        begun = time.process_time()
+        cpu_start = time.process_time()
         before = offered
         while now < end:
             now += TURN_US
@@ -122,16 +124,17 @@
                 inputs.append(CallEnded(attempt.exchange, attempt.call, api.Outcome.DONE))
             while offered < (now - START_US) * rate / SECOND_US:
                 offered += 1
-                name = f"{next(serial):016x}"
+                name = f"{next(call_serial):016x}"
                 route = Route(1 + offered % switches, 1, None, False, False, False)
                 inputs.append(Offer(front, name, "plain", "k" + name, "text", DEADLINE_US, route))
-            ledger.turn(now, inputs)
-        marks.append((time.process_time() - begun, offered - before))
+            ledger.run_turn(now, inputs)
+        marks.append((time.process_time() - cpu_start, offered - before))
     cpu_s, calls = marks[-1]
     return Measurement(switches, rate, calls, cpu_s, front)
 
 
 def main() -> None:
+    """Measures and prints a table for every pair of fleet size and rate."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--switches", type=int, nargs="+", default=[8, 60, 500])
     parser.add_argument("--rate", type=int, nargs="+", default=[100, 1_000, 10_000])
@@ -140,10 +143,13 @@
     print("| ---: | ---: | ---: | ---: | ---: |")
     for switches in arguments.switches:
         for rate in arguments.rate:
-            found = measure(switches, rate)
-            share = found.front.stood / max(found.front.stood + found.front.refused, 1)
-            each = 1e6 * found.cpu_s / found.calls
-            print(f"| {switches} | {rate} | {found.calls_per_s:.0f} | {each:.0f} | {share:.3f} |", flush=True)
+            result = measure(switches, rate)
+            stood_share = result.front.stood / max(result.front.stood + result.front.refused, 1)
+            per_call_us = 1e6 * result.cpu_s / result.calls
+            print(
+                f"| {switches} | {rate} | {result.calls_per_s:.0f} | {per_call_us:.0f} | {stood_share:.3f} |",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/parties.py
+++ b/benchmarks/parties.py
@@ -1,7 +1,7 @@
-"""The processes of a measurement: a switch with its change log, and loads that place calls steadily.
+"""The processes of a measurement: a switch with its change log, and loads that place calls at a steady rate.
 
-Each runs as `python -m benchmarks.parties PARTY JSON`, prints one JSON line when it is ready or done, and
-ends when its standard input closes or its work is done.
+Each runs as `python -m benchmarks.parties PARTY JSON`. The switch prints one JSON line when it is ready and
+ends when its standard input closes; a load prints one JSON line when it is done, and ends.
 """
 
 from __future__ import annotations
@@ -29,13 +29,17 @@
 
 CALL_CLASS = "item-lookup"
 DEST = 1
-CIRCUITS = 10**6  # the group is never what limits
+CIRCUITS = 10**6  # large enough never to limit the calls
 PLACE_INTERVAL_S = 0.005
 
 
 @dataclass
 class LoadResult:
-    """What a load saw; delays are seconds, processor times those of its process and its router's thread."""
+    """The result of a load.
+
+    Delays are in seconds; `cpu_s` is the processor time of the load's process, `router_cpu_s` that of its
+    router's thread.
+    """
 
     offered: int = 0
     stood: int = 0
@@ -46,12 +50,13 @@
     delays: list[float] = field(default_factory=list)
 
 
-def print_json(word: Any) -> None:
-    print(json.dumps(word), flush=True)
+def print_json(value: Any) -> None:
+    """Prints a value as one JSON line."""
+    print(json.dumps(value), flush=True)
 
 
 async def switch(hold_s: float) -> None:
-    """One switch without work of its own, and its change log."""
+    """Runs one switch with no processing time, and its change log."""
     simulated_switch = SimulatedSwitch("s1", DEST, circuits=CIRCUITS, processing_s=0.0, hold_s=hold_s)
     changes = SimulatedChangeLog()
     await simulated_switch.start()
@@ -62,19 +67,19 @@
 
 
 async def place_steadily(rate: float, seconds: float, place: Callable[[], None]) -> float:
-    """Calls `place` at `rate` a second for `seconds`; returns how long that took."""
+    """Calls `place` at `rate` a second for `seconds`; returns the actual duration."""
     loop = asyncio.get_running_loop()
-    begun, placed = loop.time(), 0
-    while (past := loop.time() - begun) < seconds:
+    started_at, placed = loop.time(), 0
+    while (past := loop.time() - started_at) < seconds:
         while placed < past * rate:
             place()
             placed += 1
         await asyncio.sleep(PLACE_INTERVAL_S)
-    return loop.time() - begun
+    return loop.time() - started_at
 
 
 async def sip(listen: tuple[str, int], rate: float, seconds: float) -> None:
-    """Calls over SIP to a daemon."""
+    """Places calls over SIP to a daemon."""
     loop = asyncio.get_running_loop()
     _, station = await loop.create_connection(lambda: SimulatedStation(CALL_CLASS, 9.0), *listen)
     span = await place_steadily(rate, seconds, lambda: station.dial(DEST))
@@ -84,7 +89,7 @@
 
 
 class DirectCaller(asyncio.Protocol):
-    """Calls straight to the switch, with no router between: what the rest is compared with."""
+    """Places calls directly at the switch, without a router, as the baseline for the other loads."""
 
     def __init__(self) -> None:
         self.parser = jsonlines.Parser()
@@ -96,6 +101,7 @@
         self.transport = transport
 
     def place(self) -> None:
+        """Sends one set-up to the switch."""
         call = secrets.token_hex(8)
         self.result.offered += 1
         self.started_at[call] = time.monotonic()
@@ -110,44 +116,46 @@
 
 
 async def direct(at: tuple[str, int], rate: float, seconds: float) -> None:
-    _, side = await asyncio.get_running_loop().create_connection(DirectCaller, *at)
-    side.result.span_s = await place_steadily(rate, seconds, side.place)
+    """Places calls directly at the switch."""
+    _, caller = await asyncio.get_running_loop().create_connection(DirectCaller, *at)
+    caller.result.span_s = await place_steadily(rate, seconds, caller.place)
     await asyncio.sleep(0.3)
-    print_json(asdict(side.result))
+    print_json(asdict(caller.result))
 
 
 def resident_kb(process: str = "self") -> int:
+    """Resident memory of a process, in kB."""
     status = Path(f"/proc/{process}/status").read_text()
     return int(status.partition("VmRSS:")[2].split()[0])
 
 
 def thread_cpu_s(native: int | None) -> float:
-    """Processor time of one of our threads so far, in seconds."""
+    """Processor time of one thread of this process so far, in seconds."""
     fields = Path(f"/proc/self/task/{native}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100
 
 
 async def library(changelog: tuple[str, int], rate: float, seconds: float, standing: int = 0) -> None:
-    """Calls by the embedded router from a host's loop; with `standing`, memory with so many calls instead."""
+    """Places calls through an embedded router; with `standing`, measures the memory of so many calls."""
     config = check_config(config_document(("127.0.0.1", 9), changelog, 1), Reader())
     loop = asyncio.get_running_loop()
-    found = LoadResult()
+    result = LoadResult()
     tasks: set[asyncio.Task[None]] = set()
     async with EmbeddedRouter(config, bounds=Bounds(max_open=10_000, max_standing=100_000)) as router:
         await asyncio.to_thread(router.wait_ready)
 
         async def one() -> None:
-            begun = time.monotonic()
+            started_at = time.monotonic()
             outcome = await router.place(
                 CallRequest(secrets.token_hex(8), DEST, CALL_CLASS, 9.0, "dest=1 parcel")
             )
             if isinstance(outcome, Stands):
-                found.stood += 1
-                found.delays.append(time.monotonic() - begun)
+                result.stood += 1
+                result.delays.append(time.monotonic() - started_at)
                 await outcome.call.over()
 
         def place() -> None:
-            found.offered += 1
+            result.offered += 1
             task = loop.create_task(one())
             tasks.add(task)
             task.add_done_callback(tasks.discard)
@@ -157,18 +165,19 @@
             before = resident_kb()
             await place_steadily(1000.0, standing / 1000.0, place)
             await asyncio.sleep(0.3)
-            found.resident_kb = (resident_kb() - before) * 1000 // max(found.stood, 1)
+            result.resident_kb = (resident_kb() - before) * 1000 // max(result.stood, 1)
         else:
             native = router.thread.native_id if router.thread is not None else None
             used, thread = cpu_s(), thread_cpu_s(native)
-            found.span_s = await place_steadily(rate, seconds, place)
-            found.cpu_s, found.router_cpu_s = cpu_s() - used, thread_cpu_s(native) - thread
+            result.span_s = await place_steadily(rate, seconds, place)
+            result.cpu_s, result.router_cpu_s = cpu_s() - used, thread_cpu_s(native) - thread
             await asyncio.sleep(0.3)
         await router.aclose(0.0)
-    print_json(asdict(found))
+    print_json(asdict(result))
 
 
 def cpu_s() -> float:
+    """Processor time of this process so far, in seconds."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
 
--- a/examples/embedded.py
+++ b/examples/embedded.py
@@ -1,4 +1,7 @@
-"""One call placed by a program of its own: run it from the root, beside `examples/toy_switch.py`."""
+"""Places one call from a program with an embedded router.
+
+Run it from the repository's root while `examples/toy_switch.py` is running.
+"""
 
 from rowanmast.embed import CallRequest, EmbeddedRouter
 
--- a/examples/host_app.py
+++ b/examples/host_app.py
@@ -1,4 +1,7 @@
-"""A lookup service with the router inside: `uvicorn examples.host_app:app --port 7110`, by the toy switch."""
+"""A lookup service with an embedded router.
+
+Run `uvicorn examples.host_app:app --port 7110` while `examples/toy_switch.py` is running.
+"""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -16,7 +19,7 @@
 
 
 async def lookup(request: Request) -> PlainTextResponse:
-    return PlainTextResponse(request.state.call.text)  # what the switch said; the call ends with the response
+    return PlainTextResponse(request.state.call.text)  # the switch's answer; the call ends with the response
 
 
 @contextlib.asynccontextmanager
--- a/examples/toy_caller.py
+++ b/examples/toy_caller.py
@@ -1,4 +1,4 @@
-"""A toy station: makes one call through the router of examples/config.json and prints what it hears."""
+"""A minimal station: places one call through the router of examples/config.json and prints its messages."""
 
 from __future__ import annotations
 
--- a/examples/toy_switch.py
+++ b/examples/toy_switch.py
@@ -1,4 +1,4 @@
-"""A toy switch and change log for trying a router by hand: answers every call and holds it for 2 s."""
+"""A minimal switch and change log for trying a router by hand; every call is answered and held for 2 s."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 async def switch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    def say(msg: str, sid: str, **more: object) -> None:
+    def send(msg: str, sid: str, **more: object) -> None:
         writer.write(json.dumps({"msg": msg, "sid": sid, "attrs": {}, **more}).encode() + b"\n")
 
-    say("status", "", attrs={"load": "x0:30;x1:30"})
+    send("status", "", attrs={"load": "x0:30;x1:30"})
     standing: set[str] = set()
 
-    def end(sid: str) -> None:
+    def end_call(sid: str) -> None:
         if sid in standing:
             standing.remove(sid)
             print("over", sid, flush=True)
-            say("close", sid, code=16)
+            send("close", sid, code=16)
 
     while line := await reader.readline():
         message = json.loads(line)
         print(message["msg"], message["sid"], message.get("text", ""), flush=True)
         if message["msg"] == "open":
             standing.add(message["sid"])
-            say("ready", message["sid"], text="bin 17\r\n")
-            asyncio.get_running_loop().call_later(HOLD_S, end, message["sid"])
+            send("ready", message["sid"], text="bin 17\r\n")
+            asyncio.get_running_loop().call_later(HOLD_S, end_call, message["sid"])
         elif message["msg"] == "close":
             standing.discard(message["sid"])
     writer.close()
 
 
 async def change_log(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Has nothing new to tell, and says so after the time asked for."""
+    """Answers every request with an empty list of changes after the requested timeout."""
     while line := await reader.readline():
         if line.startswith(b"GET"):
             await asyncio.sleep(int(line.partition(b"timeout=")[2].split()[0]) / 1000)
--- a/rowanmast/__main__.py
+++ b/rowanmast/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rowanmast`: the daemon, or with arguments a sub-command of the command line."""
+"""Entry point: the daemon if there are no arguments, otherwise the command line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Without arguments nothing of the command line is loaded: the platform starts us this way."""
+    """Runs the daemon without loading the command line if there are no arguments, as on the platform."""
     if len(sys.argv) > 1:
         from rowanmast.cli.main import app
 
--- a/rowanmast/addresses/__init__.py
+++ b/rowanmast/addresses/__init__.py
@@ -1,1 +1,1 @@
-"""Several addresses of one switch: their order, the race for a connection, and what is remembered of each."""
+"""Switches with several addresses: the order of the addresses, the race for a connection, their history."""
--- a/rowanmast/addresses/connector.py
+++ b/rowanmast/addresses/connector.py
@@ -1,7 +1,7 @@
-"""Connects to one of a switch's addresses: carries out what order, race and memory decide.
+"""Connects to one of the addresses of a switch, as decided by `order`, `race` and `history`.
 
-The race is run on bare sockets, and only the winner becomes a connection of the link, so that no set-up can
-leave on one that is about to be given up.
+The race is run on plain sockets, and only the winner is attached to a protocol of the link, so that no set-up
+can be sent on a connection that is about to be closed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Connector:
-    """The addresses of one switch. One connect is under way at a time, as the link asks for them."""
+    """Connects to one switch. The link must not call `connect` again before it has returned."""
 
     def __init__(
         self,
@@ -32,40 +32,43 @@
         preference: Preference,
         random: Random,
         clock: Clock,
-        within_s: float,
+        connect_timeout_s: float,
     ) -> None:
-        """`within_s` is the time in seconds that one address has to connect."""
+        """`connect_timeout_s` is the time limit of a connect to one address, in seconds."""
         self.exchange = exchange
         self.endpoints = list(endpoints)
         self.preference = preference
         self.history = AddressHistory(random)
         self.clock = clock
-        self.connect_timeout_s = within_s
+        self.connect_timeout_s = connect_timeout_s
 
     def candidates(self, now: int) -> list[Endpoint]:
-        """Those to try now: the shut ones are left out, unless all are; then the next to be asked is tried.
+        """The addresses to try now, in order. Addresses that are backing off are left out.
 
-        So a switch that comes back is found as soon as with one address, however long the pauses are.
+        If all are backing off, the one whose backoff ends first is tried, so that a switch that comes back is
+        found as soon as with a single address, however long the backoffs are.
         """
         usable = [
             one for one in self.endpoints if self.history.state(now, one) is not AddressState.BACKING_OFF
         ]
         if not usable:
             usable = [min(self.endpoints, key=lambda one: self.history.record_of(one).retry_at)]
-        proven = [one for one in usable if self.history.state(now, one) is AddressState.AVAILABLE]
-        return order_endpoints(usable, self.preference, lambda one: one in proven, self.history.cost)
+        available = [one for one in usable if self.history.state(now, one) is AddressState.AVAILABLE]
+        return order_endpoints(usable, self.preference, lambda one: one in available, self.history.cost)
 
     async def connect(self, factory: ProtocolFactory) -> Endpoint:
-        """Makes one connection with `factory` and says to which address.
+        """Makes one connection with a protocol of `factory` and returns its address.
 
-        Raises ConnectionRefusedError only if every address of the switch refused, which proves that nothing
-        runs there; else TimeoutError or another OSError.
+        Raises ConnectionRefusedError only if every address of the switch refused, which proves that its
+        process is not running; else TimeoutError or another OSError.
         """
-        begun = self.clock()
-        order = self.candidates(begun)
+        started_at = self.clock()
+        order = self.candidates(started_at)
         first = self.history.records.get(order[0])
         race = Race(
-            order, begun, attempt_delay(first.smoothed_connect_us) if first is not None else ATTEMPT_DELAY_US
+            order,
+            started_at,
+            attempt_delay(first.smoothed_connect_us) if first is not None else ATTEMPT_DELAY_US,
         )
         running: dict[asyncio.Task[socket.socket], tuple[Endpoint, int]] = {}
         failures: list[ConnectFailure] = []
@@ -75,9 +78,9 @@
                     self.history.try_start(self.clock(), endpoint)
                     task = asyncio.ensure_future(self.connect_socket(endpoint))
                     running[task] = (endpoint, self.clock())
-                due = race.next_start()
-                wait = None if due is None else max(due - self.clock(), 0) / 1e6
-                done, _ = await asyncio.wait(running, timeout=wait, return_when=asyncio.FIRST_COMPLETED)
+                next_start = race.next_start()
+                timeout_s = None if next_start is None else max(next_start - self.clock(), 0) / 1e6
+                done, _ = await asyncio.wait(running, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
                 for task in done:
                     endpoint, since = running.pop(task)
                     error = task.exception()
@@ -94,10 +97,9 @@
                         raise error
         finally:
             for task, (endpoint, since) in running.items():
+                # An address that lost to one started later counts as failed.
                 if race.winner is not None and self.clock() - since >= race.attempt_delay_us:
-                    self.history.failed(
-                        self.clock(), endpoint, ConnectFailure.TIMED_OUT
-                    )  # one that began later won
+                    self.history.failed(self.clock(), endpoint, ConnectFailure.TIMED_OUT)
                 else:
                     self.history.abandoned(endpoint)
                 task.cancel()
@@ -105,65 +107,67 @@
         if race.winner is not None:
             return race.winner
         if len(failures) == len(self.endpoints) and set(failures) == {ConnectFailure.REFUSED}:
-            raise ConnectionRefusedError(f"every address of {self.exchange} refused")
-        raise TimeoutError(f"no address of {self.exchange} connects")
+            raise ConnectionRefusedError(f"all addresses of {self.exchange} refused the connection")
+        raise TimeoutError(f"no address of {self.exchange} could be connected")
 
     async def connect_socket(self, endpoint: Endpoint) -> socket.socket:
-        """A connected socket. Raises OSError; a timeout is one."""
+        """Returns a connected socket. Raises OSError, of which TimeoutError is a subclass."""
         loop = asyncio.get_running_loop()
         if endpoint.family is Family.UNIX:
-            made, where = socket.socket(socket.AF_UNIX), endpoint.host
+            sock, address = socket.socket(socket.AF_UNIX), endpoint.host
         else:
             version = socket.AF_INET if endpoint.family is Family.IP4 else socket.AF_INET6
-            made = socket.socket(version)
-            where = socket_address(endpoint)  # type: ignore[assignment]
+            sock = socket.socket(version)
+            address = socket_address(endpoint)  # type: ignore[assignment]
         try:
-            made.setblocking(False)
+            sock.setblocking(False)
             async with asyncio.timeout(self.connect_timeout_s):
-                await loop.sock_connect(made, where)
+                await loop.sock_connect(sock, address)
         except BaseException:
-            made.close()
+            sock.close()
             raise
-        return made
+        return sock
 
     async def attach_protocol(
-        self, made: socket.socket, endpoint: Endpoint, factory: ProtocolFactory
+        self, sock: socket.socket, endpoint: Endpoint, factory: ProtocolFactory
     ) -> None:
         loop = asyncio.get_running_loop()
         try:
             if endpoint.family is Family.UNIX:
-                await loop.create_unix_connection(factory, sock=made)
+                await loop.create_unix_connection(factory, sock=sock)
             else:
-                await loop.create_connection(factory, sock=made)
+                await loop.create_connection(factory, sock=sock)
         except BaseException:
-            made.close()
+            sock.close()
             raise
 
     def record_failure(self, endpoint: Endpoint, error: OSError) -> ConnectFailure:
-        how = ConnectFailure.UNREACHED
+        failure = ConnectFailure.UNREACHED
         if isinstance(error, ConnectionRefusedError | FileNotFoundError):
-            how = ConnectFailure.REFUSED  # no socket file is a proof as well that nothing listens there
+            failure = ConnectFailure.REFUSED  # a missing socket file also proves that nothing listens
         elif isinstance(error, TimeoutError):
-            how = ConnectFailure.TIMED_OUT
-        self.history.failed(self.clock(), endpoint, how)
-        log.info("address_failed", extra={"exchange": self.exchange, "address": endpoint, "why": how.value})
-        return how
+            failure = ConnectFailure.TIMED_OUT
+        self.history.failed(self.clock(), endpoint, failure)
+        log.info(
+            "address_failed", extra={"exchange": self.exchange, "address": endpoint, "why": failure.value}
+        )
+        return failure
 
     def connection_reset(self, endpoint: Endpoint) -> None:
-        """A connection there ended before it brought anything."""
+        """A connection to this address was lost before any data arrived on it."""
         self.history.failed(self.clock(), endpoint, ConnectFailure.RESET)
 
 
 def socket_address(endpoint: Endpoint) -> tuple[str, int] | tuple[str, int, int, int]:
-    """As the socket calls want it; a zone is given by its number."""
+    """The address in the form that the socket module expects, with the zone as an interface index."""
     if endpoint.family is Family.IP4:
         return endpoint.host, endpoint.port
     zone = endpoint.scope
-    number = 0 if not zone else int(zone) if zone.isdigit() else socket.if_nametoindex(zone)
-    return endpoint.host, endpoint.port, 0, number
+    scope_id = 0 if not zone else int(zone) if zone.isdigit() else socket.if_nametoindex(zone)
+    return endpoint.host, endpoint.port, 0, scope_id
 
 
 def close_late_socket(task: asyncio.Task[socket.socket]) -> None:
-    """An attempt that connected just as it was given up."""
+    """Closes the socket of an attempt that connected just as it was cancelled."""
     if not task.cancelled() and task.exception() is None:
         task.result().close()
--- a/rowanmast/addresses/history.py
+++ b/rowanmast/addresses/history.py
@@ -1,8 +1,8 @@
-"""What is remembered of each address of a switch, and when one that failed is tried again. Without I/O.
+"""The connect times and failures of each address of a switch, and the backoff after failures. No I/O.
 
-An address that failed is shut for a pause that doubles; after it one connection, and no more, asks whether it
-is back (half-open, as a circuit breaker). Pauses are jittered, so that many routers do not ask in step. Times
-are microseconds of the monotonic clock.
+An address that failed is not tried during a backoff that doubles with each failure. After the backoff a
+single connection probes the address (half-open, as in a circuit breaker). The backoff is jittered, so that
+many routers do not probe in step. Times are microseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,93 +14,96 @@
 
 from rowanmast.addresses.order import MAX_ADDRESSES, Endpoint
 
-SMOOTHING_WEIGHT = 0.125  # of a new connect time in the smoothed one, as RFC 6298 has it for round trips
-MIN_BACKOFF_US, MAX_BACKOFF_US = 500_000, 60_000_000  # first and longest pause of an address that failed
-BACKOFF_JITTER = 0.25  # part by which a pause varies to either side
-PROBE_TIMEOUT_US = 5_000_000  # beyond which a question that got no verdict is taken for lost
+SMOOTHING_WEIGHT = 0.125  # of a new connect time in the smoothed one, as in RFC 6298 for round-trip times
+MIN_BACKOFF_US, MAX_BACKOFF_US = 500_000, 60_000_000  # after the first failure, and at most
+BACKOFF_JITTER = 0.25  # fraction by which the backoff varies in either direction
+PROBE_TIMEOUT_US = 5_000_000  # a probe without a result is considered lost after this time
 
 
 class ConnectFailure(Enum):
-    """How a connect, or a connection that stood, came to its end."""
+    """Why a connect failed or a new connection was lost."""
 
-    REFUSED = "refused"  # nothing listens there: a proof, so it may soon be back
-    UNREACHED = "unreached"  # the kernel knows no way
-    TIMED_OUT = "timed out"  # packets vanish
+    REFUSED = "refused"  # nothing listens at the address
+    UNREACHED = "unreached"  # the kernel has no route
+    TIMED_OUT = "timed out"  # packets are lost
     RESET = "reset"
 
 
 class AddressState(Enum):
-    """What may be asked of an address now."""
+    """Whether an address may be tried now."""
 
-    AVAILABLE = "open"  # nothing speaks against it
-    BACKING_OFF = "shut"  # it failed, and its pause is not over
-    HALF_OPEN = "half open"  # the pause is over: one connection may ask
+    AVAILABLE = "open"  # no failure since the last successful connect
+    BACKING_OFF = "shut"  # it failed, and its backoff is not over
+    HALF_OPEN = "half open"  # the backoff is over: a single connection may probe it
 
 
 @dataclass(slots=True)
 class AddressRecord:
-    """One address."""
+    """The history of one address."""
 
-    smoothed_connect_us: int | None = None  # connect time
-    consecutive_failures: int = 0  # in a row
+    smoothed_connect_us: int | None = None
+    consecutive_failures: int = 0
     last_failure: ConnectFailure | None = None
-    retry_at: int = 0
-    probed_at: int | None = None  # by the connection that asks whether it is back
+    retry_at: int = 0  # end of the backoff
+    probed_at: int | None = None  # start of the pending probe, if there is one
 
 
 class AddressHistory:
-    """The addresses of one switch; goes with it. At most MOST are kept."""
+    """The histories of the addresses of one switch. At most MAX_ADDRESSES are kept."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
         self.records: dict[Endpoint, AddressRecord] = {}
 
     def retain(self, endpoints: Iterable[Endpoint]) -> None:
-        """Forgets the addresses that the switch has no more."""
-        wanted = set(endpoints)
-        self.records = {endpoint: one for endpoint, one in self.records.items() if endpoint in wanted}
+        """Deletes the records of all other addresses."""
+        kept = set(endpoints)
+        self.records = {endpoint: record for endpoint, record in self.records.items() if endpoint in kept}
 
     def record_of(self, endpoint: Endpoint) -> AddressRecord:
-        known = self.records.get(endpoint)
-        if known is None:
-            if len(self.records) >= MAX_ADDRESSES:  # the one that was remembered longest ago goes
+        """The record of an address, which is created if there is none."""
+        record = self.records.get(endpoint)
+        if record is None:
+            if len(self.records) >= MAX_ADDRESSES:  # evict the oldest record
                 del self.records[next(iter(self.records))]
-            known = self.records[endpoint] = AddressRecord()
-        return known
+            record = self.records[endpoint] = AddressRecord()
+        return record
 
     def state(self, now: int, endpoint: Endpoint) -> AddressState:
-        known = self.records.get(endpoint)
-        if known is None or not known.consecutive_failures:
+        record = self.records.get(endpoint)
+        if record is None or not record.consecutive_failures:
             return AddressState.AVAILABLE
-        asking = known.probed_at is not None and now - known.probed_at < PROBE_TIMEOUT_US
-        return AddressState.BACKING_OFF if now < known.retry_at or asking else AddressState.HALF_OPEN
+        is_probing = record.probed_at is not None and now - record.probed_at < PROBE_TIMEOUT_US
+        return AddressState.BACKING_OFF if now < record.retry_at or is_probing else AddressState.HALF_OPEN
 
     def try_start(self, now: int, endpoint: Endpoint) -> bool:
-        """Whether a connect may start; one to a half-open address then is the one that asks."""
-        standing = self.state(now, endpoint)
-        if standing is AddressState.HALF_OPEN:
+        """Whether a connect may start now. A connect to a half-open address becomes its probe."""
+        state = self.state(now, endpoint)
+        if state is AddressState.HALF_OPEN:
             self.record_of(endpoint).probed_at = now
-        return standing is not AddressState.BACKING_OFF
+        return state is not AddressState.BACKING_OFF
 
     def connected(self, endpoint: Endpoint, took_us: int) -> None:
-        known = self.record_of(endpoint)
-        before = took_us if known.smoothed_connect_us is None else known.smoothed_connect_us
-        known.smoothed_connect_us = round(before + (took_us - before) * SMOOTHING_WEIGHT)
-        known.consecutive_failures, known.last_failure, known.retry_at, known.probed_at = 0, None, 0, None
+        """A connect succeeded after `took_us` microseconds."""
+        record = self.record_of(endpoint)
+        before = took_us if record.smoothed_connect_us is None else record.smoothed_connect_us
+        record.smoothed_connect_us = round(before + (took_us - before) * SMOOTHING_WEIGHT)
+        record.consecutive_failures, record.last_failure, record.retry_at, record.probed_at = 0, None, 0, None
 
     def abandoned(self, endpoint: Endpoint) -> None:
-        """A connect that lost its race tells nothing; its question may be asked again."""
+        """A connect was cancelled without a result, as it lost its race; the address may be probed again."""
         if endpoint in self.records:
             self.records[endpoint].probed_at = None
 
-    def failed(self, now: int, endpoint: Endpoint, how: ConnectFailure) -> None:
-        known = self.record_of(endpoint)
-        known.consecutive_failures += 1
-        known.last_failure, known.probed_at = how, None
-        pause = min(MIN_BACKOFF_US << min(known.consecutive_failures - 1, 16), MAX_BACKOFF_US)
-        known.retry_at = now + round(pause * self.random.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER))
+    def failed(self, now: int, endpoint: Endpoint, failure: ConnectFailure) -> None:
+        """A connect failed, or a new connection was lost: starts the backoff."""
+        record = self.record_of(endpoint)
+        record.consecutive_failures += 1
+        record.last_failure, record.probed_at = failure, None
+        backoff = min(MIN_BACKOFF_US << min(record.consecutive_failures - 1, 16), MAX_BACKOFF_US)
+        record.retry_at = now + round(backoff * self.random.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER))
 
     def cost(self, endpoint: Endpoint) -> int:
-        """For the order within a family: the smoothed connect time, an unknown one counting as none."""
-        known = self.records.get(endpoint)
-        return 0 if known is None or known.smoothed_connect_us is None else known.smoothed_connect_us
+        """The smoothed connect time, 0 if unknown; lower ones are tried first within a family."""
+        record = self.records.get(endpoint)
+        return 0 if record is None or record.smoothed_connect_us is None else record.smoothed_connect_us
--- a/rowanmast/addresses/order.py
+++ b/rowanmast/addresses/order.py
@@ -1,8 +1,8 @@
-"""The addresses of a switch and the order in which they are tried. Without I/O.
+"""The addresses of a switch and the order in which they are tried. No I/O.
 
-The order is that of RFC 6724, section 6, as far as it can be judged without asking the kernel for source
-addresses, with the operator's order of families in place of the default policy table; families are then
-interleaved as in RFC 8305, section 4, so that one that is broken as a whole costs one attempt and not all.
+The order follows RFC 6724, section 6, without the rules that need source addresses from the kernel, and with
+the operator's order of address families in place of the default policy table. The families are then
+interleaved as in RFC 8305, section 4, so that a family that does not work at all costs only one attempt.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from enum import Enum
 from ipaddress import AddressValueError, IPv4Address, IPv6Address
 
-MAX_UNIX_PATH_BYTES = 107  # bytes of a Unix socket's path that Linux takes (unix(7))
-MAX_ADDRESSES = 16  # addresses of one switch that are kept: more are of no use, and come from outside
+MAX_UNIX_PATH_BYTES = 107  # limit of Linux (unix(7))
+MAX_ADDRESSES = 16  # per switch; the list comes from outside, and more would be of no use
 UNIX_PREFIX = "unix:"
 
 
 class EndpointError(ValueError):
-    """The text is no address; it says what would be."""
+    """A text is not a valid address; the message says what is expected."""
 
 
 class Family(Enum):
@@ -46,7 +46,10 @@
 
 
 def read_endpoint(text: str) -> Endpoint:
-    """An address such as 10.1.0.9:2905, [fe80::1%eth0]:2905 or unix:/run/s.sock. Raises EndpointError."""
+    """Parses an address such as 10.1.0.9:2905, [fe80::1%eth0]:2905 or unix:/run/s.sock.
+
+    Raises EndpointError.
+    """
     if text.startswith(UNIX_PREFIX):
         path = text.removeprefix(UNIX_PREFIX)
         if not path.startswith("/") or "\0" in path or len(path.encode()) > MAX_UNIX_PATH_BYTES:
@@ -69,24 +72,26 @@
     try:
         address = IPv6Address(host)
     except AddressValueError:
-        raise EndpointError(f"{host!r}: no IPv6 address") from None
+        raise EndpointError(f"{host!r}: not an IPv6 address") from None
     scope = address.scope_id or ""
     plain = IPv6Address(int(address))
     if plain.is_link_local != bool(scope):
-        raise EndpointError(f"{host!r}: a link-local address needs its zone, as in fe80::1%eth0, others none")
+        raise EndpointError(
+            f"{host!r}: give a zone for a link-local address, as in fe80::1%eth0, and none for others"
+        )
     return Endpoint(Family.IP6, str(plain), port, scope)
 
 
 @dataclass(frozen=True, slots=True)
 class Preference:
-    """The operator's order of families, and how many of the first start before the next one's turn."""
+    """The operator's order of address families, and how many addresses of the first one are tried first."""
 
     families: tuple[Family, ...] = (Family.UNIX, Family.IP6, Family.IP4)
     first_count: int = 1  # First Address Family Count, RFC 8305, section 4
 
 
 def scope_rank(endpoint: Endpoint) -> int:
-    """Smaller scopes first (RFC 6724, rule 8): this machine, this link, this site, the world."""
+    """Rank by scope, smaller scopes first (RFC 6724, rule 8): host, link, site, global."""
     if endpoint.family is Family.UNIX:
         return 0
     address = IPv4Address(endpoint.host) if endpoint.family is Family.IP4 else IPv6Address(endpoint.host)
@@ -103,35 +108,35 @@
     usable: Callable[[Endpoint], bool] = lambda endpoint: True,
     cost: Callable[[Endpoint], int] = lambda endpoint: 0,
 ) -> list[Endpoint]:
-    """The endpoints in the order to try them: each once, at most MOST, those of no listed family left out.
+    """The endpoints in the order to try them: each once, at most MAX_ADDRESSES, only of listed families.
 
-    `usable` is rule 1 (avoid unusable destinations): the others come last, in their own order. `cost` is what
-    is remembered, in any unit: within a family and a scope, the lower goes first. Else the order given stays
-    (rule 10).
+    `usable` implements rule 1 (avoid unusable destinations): unusable endpoints come last, in the same order
+    among themselves. Within a family and a scope, endpoints of lower `cost` come first; its unit does not
+    matter. Otherwise the given order is kept (rule 10).
     """
-    known = [one for one in dict.fromkeys(endpoints) if one.family in preference.families][:MAX_ADDRESSES]
-    good = [one for one in known if usable(one)]
-    poor = [one for one in known if one not in good]
+    listed = [one for one in dict.fromkeys(endpoints) if one.family in preference.families][:MAX_ADDRESSES]
+    good = [one for one in listed if usable(one)]
+    poor = [one for one in listed if one not in good]
     return [*interleave(good, preference, cost), *interleave(poor, preference, cost)]
 
 
 def interleave(
     endpoints: Sequence[Endpoint], preference: Preference, cost: Callable[[Endpoint], int]
 ) -> list[Endpoint]:
-    """Families take turns, the first with `first_count` addresses on its first turn."""
+    """Alternates between the families; the first one starts with `first_count` addresses."""
     queues = [
         sorted(
             (one for one in endpoints if one.family is family),
-            key=lambda one: (scope_rank(one), cost(one)),  # a stable sort keeps the rest
+            key=lambda one: (scope_rank(one), cost(one)),  # the sort is stable
         )
         for family in preference.families
     ]
     queues = [queue for queue in queues if queue]
-    found: list[Endpoint] = []
+    ordered: list[Endpoint] = []
     if queues:
         head = max(preference.first_count - 1, 0)
-        found += queues[0][:head]
+        ordered += queues[0][:head]
         del queues[0][:head]
     while any(queues):
-        found += [queue.pop(0) for queue in queues if queue]
-    return found
+        ordered += [queue.pop(0) for queue in queues if queue]
+    return ordered
--- a/rowanmast/app/__init__.py
+++ b/rowanmast/app/__init__.py
@@ -1,1 +1,1 @@
-"""The assembly: a whole router from a checked configuration, and the daemon that holds one."""
+"""Assembles a complete router from a checked configuration, and runs it as a daemon."""
--- a/rowanmast/app/components.py
+++ b/rowanmast/app/components.py
@@ -1,4 +1,4 @@
-"""The fronts as parts of a router: callers over SIP, callers and switches over IAX2, and a VRRP pair."""
+"""Components of a router: SIP callers, IAX2 callers and switches, a VRRP pair, and multi-address links."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from rowanmast.app.router import Router
 from rowanmast.app.switches import Address, ManagedLink
 from rowanmast.config import IaxConfig
-from rowanmast.iax2.endpoint import Endpoint
+from rowanmast.iax2.endpoint import IaxEndpoint
 from rowanmast.iax2.front import IaxFront
 from rowanmast.iax2.peers import IaxSwitchLink
 from rowanmast.net import callers
@@ -23,7 +23,7 @@
 
 
 class MultiAddressLinks:
-    """Makes the links to switches for which the settings give several addresses."""
+    """Creates the links to switches for which the settings list addresses of their own."""
 
     def __init__(
         self, router: Router, addresses: Mapping[str, Sequence[order.Endpoint]], preference: order.Preference
@@ -33,19 +33,20 @@
         self.preference = preference
 
     def make_link(self, exchange: str, address: Address) -> ManagedLink | None:
+        """A link that connects to any of the listed addresses, or None if the switch has none."""
         endpoints = self.addresses.get(exchange)
         if not endpoints:
             return None
-        router, within_s = self.router, self.router.config.connect_s
-        connector = Connector(exchange, endpoints, self.preference, router.random, now_us, within_s)
+        router, timeout_s = self.router, self.router.config.connect_s
+        connector = Connector(exchange, endpoints, self.preference, router.random, now_us, timeout_s)
         probes = router.config.settings.probes
         return JsonSwitchLink(
-            exchange, address, router, router.ledger, within_s, router.random, connector, may_probe=probes
+            exchange, address, router, router.ledger, timeout_s, router.random, connector, may_probe=probes
         )
 
 
 class SipComponent:
-    """Callers over SIP, and the socket that they come to."""
+    """The SIP front and its listening socket."""
 
     def __init__(self, front: callers.SipFront, listen: Address) -> None:
         self.front = front
@@ -73,46 +74,46 @@
 
 
 class IaxComponent:
-    """The UDP socket of all IAX2 calls, and the pair that this router may belong to."""
+    """The IAX2 front and links on their common UDP socket, and the VRRP pair if one is configured."""
 
     def __init__(self, router: Router, iax: IaxConfig) -> None:
         self.router = router
         self.iax = iax
         self.front = IaxFront(router, router.random, self.accepts_calls)
-        self.endpoint = Endpoint(now_us, self.front.handle_new)
-        self.pair: vrrp.Endpoint | None = None
+        self.endpoint = IaxEndpoint(now_us, self.front.handle_new)
+        self.pair: vrrp.VrrpEndpoint | None = None
 
     def accepts_calls(self) -> bool:
-        """Whether new IAX2 calls are taken: by the active router of a pair, until it stops."""
-        active = self.pair is None or self.pair.machine.state is vrrp.State.ACTIVE
-        return active and not self.router.closing
+        """Whether new IAX2 calls are accepted: in a pair only by the active router, until it shuts down."""
+        is_active = self.pair is None or self.pair.machine.state is vrrp.State.ACTIVE
+        return is_active and not self.router.closing
 
     def make_link(self, exchange: str, address: Address) -> ManagedLink | None:
-        """An IAX2 link to a switch that the settings name as speaking it."""
-        at = self.iax.switches.get(exchange)
-        if at is None:
+        """An IAX2 link, or None if the settings do not list the switch as an IAX2 switch."""
+        iax_address = self.iax.switches.get(exchange)
+        if iax_address is None:
             return None
-        return IaxSwitchLink(exchange, address, at, self.router, self.router.ledger, self.endpoint)
+        return IaxSwitchLink(exchange, address, iax_address, self.router, self.router.ledger, self.endpoint)
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self.endpoint, local_addr=self.iax.listen)
         if self.iax.pair is not None:
             machine = vrrp.StateMachine(self.iax.pair.parameters, self.iax.pair.listen)
-            pair = self.pair = vrrp.Endpoint(machine, self.iax.pair.peer, now_us)
+            pair = self.pair = vrrp.VrrpEndpoint(machine, self.iax.pair.peer, now_us)
             await loop.create_datagram_endpoint(lambda: pair, local_addr=self.iax.pair.listen)
 
     def transports(self) -> list[asyncio.BaseTransport]:
-        """Its sockets that are open."""
+        """The open sockets."""
         pair = None if self.pair is None else self.pair.transport
         return [one for one in (self.endpoint.transport, pair) if one is not None and not one.is_closing()]
 
     def begin_shutdown(self) -> None:
         if self.pair is not None:
-            self.pair.stop()  # the other one takes over at once
+            self.pair.stop()  # the other router takes over at once
 
     def refuse_new_calls(self) -> None:
-        pass  # since the router is closing, no new call is taken
+        pass  # `accepts_calls` is already False while the router is closing
 
     def all_notified(self) -> bool:
         return True
--- a/rowanmast/app/daemon.py
+++ b/rowanmast/app/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one router with the fronts of its configuration, and the signals of its process."""
+"""The daemon: a process that runs one router with the configured fronts and handles signals."""
 
 from __future__ import annotations
 
@@ -26,19 +26,13 @@
 if TYPE_CHECKING:
     from rowanmast.options.reader import Options
 
-RESTART_ONLY_FIELDS = (
-    "name",
-    "listen",
-    "sockets",
-    "settings",
-    "connect_s",
-)  # in the configuration, until a restart
+RESTART_ONLY_FIELDS = ("name", "listen", "sockets", "settings", "connect_s")  # changes need a restart
 
 log = logging.getLogger("rowanmast")
 
 
 class Daemon(Router):
-    """A router with callers over SIP and, where the settings have it, IAX2."""
+    """A router with a SIP front and, if configured, IAX2."""
 
     def __init__(
         self,
@@ -49,7 +43,7 @@
         addresses: Mapping[str, Sequence[Endpoint]] | None = None,
         preference: Preference | None = None,
     ) -> None:
-        """`addresses` are those of switches that have some beside the change log's, by the switch's name."""
+        """`addresses` lists, by switch name, the addresses to use instead of the change log's."""
         self.callers = SipFront(self, config.sockets // 2, now_us)
         super().__init__(config, reader, loop, orphan_front=self.callers)
         if addresses:
@@ -61,7 +55,7 @@
         self.add_components(SipComponent(self.callers, config.listen))
 
     @property
-    def pair(self) -> vrrp.Endpoint | None:
+    def pair(self) -> vrrp.VrrpEndpoint | None:
         return None if self.iax is None else self.iax.pair
 
     @property
@@ -69,7 +63,7 @@
         return None if self.iax is None else self.iax.front
 
     def accepts_iax_calls(self) -> bool:
-        """Whether new IAX2 calls are taken now."""
+        """Whether new IAX2 calls are accepted now."""
         return self.iax is not None and self.iax.accepts_calls()
 
     async def open(self) -> None:
@@ -77,12 +71,13 @@
         log.info("ready", extra={"listen": "{}:{}".format(*self.config.listen)})
 
     def install_signal_handlers(self) -> None:
+        """SIGTERM and SIGINT shut the router down, SIGHUP reloads the configuration."""
         for name in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(name, self.stop.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     def reload(self) -> None:
-        """Turns to the change log that the file names now; what else has changed there takes a restart."""
+        """Reads the configuration again and switches to its change log; other changes need a restart."""
         try:
             config = read_config(self.config.path, self.reader)
         except ConfigError as error:
@@ -98,6 +93,7 @@
 
 
 async def serve(config: Config, options: Options | None, reader: Reader) -> None:
+    """Runs the daemon until a signal stops it."""
     loop = asyncio.get_running_loop()
     if options is None:
         daemon = Daemon(config, None, reader, loop)
@@ -108,7 +104,7 @@
 
 
 def read_router_settings(path: str | None) -> Options | None:
-    """Our own settings, where a file is named; the library that reads them is loaded only then."""
+    """Reads the router's settings file, if there is one; the protobuf library is imported only then."""
     if not path:
         return None
     from rowanmast.options.reader import read_options
@@ -117,7 +113,10 @@
 
 
 def start(config_path: str | None, settings_path: str | None) -> int:
-    """Serves until it is told to stop; the exit code is 1 if it can't begin, with one line that says why."""
+    """Runs the daemon until it is stopped and returns the exit code.
+
+    If it can't start, it prints one line with the reason to standard error and returns 1.
+    """
     reader = Reader()
     try:
         config = read_config(config_path, reader)
@@ -135,5 +134,5 @@
 
 
 def main() -> int:
-    """The daemon as the platform starts it: everything is in the environment."""
+    """Runs the daemon with the configuration files named in the environment."""
     return start(os.environ.get("PROXY_CONFIG"), os.environ.get("ROWANMAST_SETTINGS"))
--- a/rowanmast/app/router.py
+++ b/rowanmast/app/router.py
@@ -1,7 +1,7 @@
-"""One assembly for every router: the ledger, the decisions, the change log, any set of fronts and links.
+"""Assembles a router: the ledger, the decision module, the change log and any set of fronts and links.
 
-Nothing here reads the environment, minds signals or keeps state outside the router that it builds. The
-daemon, the embedded router and the tests all hold one of these; they differ in the parts that they add.
+The daemon, the embedded router and the tests use the same class and differ in the components they add.
+Nothing here reads the environment, handles signals or keeps state outside the router.
 """
 
 from __future__ import annotations
@@ -22,15 +22,17 @@
 from rowanmast.net.input_queue import InputQueue
 from rowanmast.net.peers import JsonSwitchLink
 
-RELEASE_MARGIN_US = 50_000
-SHUTDOWN_ACCEPT_S = 0.7  # after a stop is asked for, callers still come for this long
-MAX_DEADLINE_WAIT_S = 3.0  # SIGKILL may come this long after that, or the longest deadline if it is shorter
-VERIFY_MARGIN_S = 0.4  # before SIGKILL may come, switches are asked for a sign of life,
-ANSWER_MARGIN_S = 0.25  # what is owed is answered and what can't stand without us is ended,
-EXIT_MARGIN_S = 0.1  # and the process ends
-FLUSH_S = 0.05  # time for the last bytes to leave
+RELEASE_MARGIN_US = 50_000  # by which the decision module waits longer for a release than the ledger
+SHUTDOWN_ACCEPT_S = 0.7  # after SIGTERM, new calls are accepted for this long
+# After SHUTDOWN_ACCEPT_S, SIGKILL comes no sooner than this, or than the longest deadline if that is shorter.
+MAX_DEADLINE_WAIT_S = 3.0
+# Times before the earliest SIGKILL at which the steps of the shutdown start:
+VERIFY_MARGIN_S = 0.4  # probe the switches with standing calls
+ANSWER_MARGIN_S = 0.25  # answer all unanswered calls and end those that can't outlive the process
+EXIT_MARGIN_S = 0.1  # exit
+FLUSH_S = 0.05  # time for the last output to be sent
 POLL_INTERVAL_S = 0.02
-TOTALS_INTERVAL_S = 10.0  # between two lines of totals in the log
+TOTALS_INTERVAL_S = 10.0  # between two log lines with totals
 
 Clock = Callable[[], int]
 
@@ -38,29 +40,29 @@
 
 
 class Component(Protocol):
-    """A front, or what fronts and links need, with a life of its own inside a router."""
+    """A part of a router with a life cycle of its own, such as a front with its socket."""
 
     async def open(self) -> None:
-        """Begins to listen. Raises OSError where that can't be done."""
+        """Starts to listen. Raises OSError if it can't."""
 
     def begin_shutdown(self) -> None:
-        """The router stops: tells callers to go elsewhere, but still takes what comes."""
+        """Tells callers to use another router, but still accepts calls."""
 
     def refuse_new_calls(self) -> None:
-        """Takes nothing new from now on: what comes is refused at once."""
+        """Refuses all new calls from now on."""
 
     def all_notified(self) -> bool:
-        """Whether callers have heard all that they must."""
+        """Whether callers have acknowledged all releases."""
 
     def close(self) -> None:
-        """Lets go of every socket."""
+        """Closes all sockets."""
 
 
 LinkFactory = Callable[[str, Address], ManagedLink | None]
 
 
 class Router:
-    """What every router has. Fronts are added as parts, other protocols of switches as link makers."""
+    """A complete router. Fronts are added as components, further switch protocols as link factories."""
 
     def __init__(
         self,
@@ -70,18 +72,22 @@
         orphan_front: Front | None = None,
         share: ColdShare | None = None,
     ) -> None:
-        """`heir` hears the end of calls that an earlier run left; `share` is that of all routers here."""
+        """Opens no socket yet; see `open`.
+
+        `orphan_front` is notified of the ends of calls that an earlier run left standing. `share` is the
+        common account for cold switches of all routers in this process.
+        """
         self.config = config
         self.reader = reader
         self.loop = loop
         self.random = Random(config.seed)
         self.switches = SwitchLinks(config.settings.own_exchange, self.make_link)
         agent = CallAgent(with_release_margin(config.settings, RELEASE_MARGIN_US), config.seed)
-        turn_share = None if share is None else share.join(config.name, config.settings)
+        cold_share = None if share is None else share.join(config.name, config.settings)
         self.ledger = Ledger(
-            config.settings, config.classes, agent, self.switches.by_exchange, orphan_front, turn_share
+            config.settings, config.classes, agent, self.switches.by_exchange, orphan_front, cold_share
         )
-        self.turn = InputQueue(loop, self.ledger)
+        self.input_queue = InputQueue(loop, self.ledger)
         self.change_log = ChangeLogClient(config.changelog, reader, 0, self.apply_change, self.random)
         self.components: list[Component] = []
         self.link_factories: list[LinkFactory] = []
@@ -90,21 +96,21 @@
         self.ready = asyncio.Event()
         self.stop = asyncio.Event()
 
-    def add_components(self, *parts: Component) -> None:
-        self.components += parts
+    def add_components(self, *components: Component) -> None:
+        self.components += components
 
-    def add_link_factory(self, maker: LinkFactory) -> None:
-        """Asks `maker` for the link to a switch before those asked for so far; None leaves it to them."""
-        self.link_factories.insert(0, maker)
+    def add_link_factory(self, factory: LinkFactory) -> None:
+        """Adds a factory that is asked before the existing ones; it returns None for switches of others."""
+        self.link_factories.insert(0, factory)
 
     def post(self, item: Input) -> None:
-        self.turn.post(item)
+        self.input_queue.post(item)
 
     # Switches
 
     @property
     def links(self) -> Mapping[str, SwitchLink]:
-        """The links to all switches, also to removed ones on which calls still stand."""
+        """The links to all switches, including removed ones with standing calls."""
         return self.switches.by_exchange
 
     @property
@@ -113,36 +119,37 @@
         return self.switches.listed
 
     def apply_change(self, change: Change) -> None:
+        """Updates the links and the ledger with a change from the change log."""
         self.switches.update(change)
         log.info("list", extra={"seq": change.seq, "hosts": len(change.exchange_list.entries)})
-        self.turn.post(change.exchange_list)
+        self.input_queue.post(change.exchange_list)
 
     def make_link(self, exchange: str, address: Address) -> ManagedLink:
-        """The link that speaks the switch's protocol: JSON lines, unless a maker knows better."""
-        made = (maker(exchange, address) for maker in self.link_factories)
-        other = next((link for link in made if link is not None), None)
-        if other is not None:
-            return other
+        """Creates the link to a switch with the first factory that supports it, else over JSON lines."""
+        made = (factory(exchange, address) for factory in self.link_factories)
+        special = next((link for link in made if link is not None), None)
+        if special is not None:
+            return special
         config, probes = self.config, self.config.settings.probes
         return JsonSwitchLink(
             exchange, address, self, self.ledger, config.connect_s, self.random, may_probe=probes
         )
 
-    # Life
+    # Life cycle
 
     async def open(self) -> None:
-        """Opens the links to the switches known and then the fronts. Raises OSError if one can't listen."""
+        """Opens the links to the known switches, then the fronts. Raises OSError if one can't listen."""
         for change in self.config.known:
             self.change_log.seq = change.seq
             self.apply_change(change)
         self.change_log.start()
-        for part in self.components:
-            await part.open()
+        for component in self.components:
+            await component.open()
         self.log_totals()
         self.ready.set()
 
     def log_totals(self) -> None:
-        """Logs what has become of calls so far, where that has changed, and again later."""
+        """Logs the totals if they have changed since the last time, and schedules the next call."""
         counts = self.ledger.totals.changed_totals()
         if counts:
             log.info("totals", extra={**counts, "open": len(self.ledger.records)})
@@ -155,51 +162,52 @@
         await self.shut_down()
 
     async def shut_down(self) -> None:
-        """Takes calls a little longer, answers them all, and waits for those that stand.
+        """Accepts calls a little longer, answers all calls and waits for standing ones to end.
 
-        All is done before SIGKILL may come (PROTOCOL, "Figures"). What still stands then goes on: the next
-        run at this address hears of its end and tells the caller.
+        It finishes before SIGKILL may follow (PROTOCOL, "Figures"). Calls that still stand are left standing:
+        the next run at this address receives their releases and notifies the callers.
         """
         log.info(
             "stopping", extra={"owed": self.ledger.unanswered_count(), "calls": len(self.ledger.records)}
         )
-        begun = self.loop.time()
+        started_at = self.loop.time()
         self.closing = True
-        for part in self.components:
-            part.begin_shutdown()
-        kill_at = begun + self.kill_delay_s()
-        await self.wait_until(lambda: False, min(begun + SHUTDOWN_ACCEPT_S, kill_at - VERIFY_MARGIN_S))
-        for part in self.components:
-            part.refuse_new_calls()
+        for component in self.components:
+            component.begin_shutdown()
+        kill_at = started_at + self.kill_delay_s()
+        await self.wait_until(lambda: False, min(started_at + SHUTDOWN_ACCEPT_S, kill_at - VERIFY_MARGIN_S))
+        for component in self.components:
+            component.refuse_new_calls()
         await self.wait_until(lambda: not self.ledger.records, kill_at - VERIFY_MARGIN_S)
         if self.ledger.records:
             self.switches.verify_alive()
             await self.wait_until(lambda: not self.ledger.records, kill_at - ANSWER_MARGIN_S)
             self.post(EndUnanswered())
-            await asyncio.sleep(0)  # the turn that answers them
+            await asyncio.sleep(0)  # lets the ledger's turn run
         await self.complete_shutdown(kill_at - EXIT_MARGIN_S)
 
     def kill_delay_s(self) -> float:
-        """How long after SIGTERM SIGKILL comes at the earliest, in seconds."""
-        longest = max(kind.deadline_ns for kind in self.config.settings.classes) / 1e9
-        return SHUTDOWN_ACCEPT_S + min(longest, MAX_DEADLINE_WAIT_S)
+        """The least time between SIGTERM and SIGKILL, in seconds."""
+        longest_s = max(call_class.deadline_ns for call_class in self.config.settings.classes) / 1e9
+        return SHUTDOWN_ACCEPT_S + min(longest_s, MAX_DEADLINE_WAIT_S)
 
     async def complete_shutdown(self, end: float) -> None:
-        """Ends what can't stand without us, and closes everything."""
+        """Ends the calls that can't outlive the process and closes everything by `end` (loop time)."""
         self.ledger.release_nonsurviving()
         standing = len(self.ledger.records)
         self.switches.close()
-        await self.wait_until(lambda: all(part.all_notified() for part in self.components), end - FLUSH_S)
-        for part in self.components:
-            part.close()
+        await self.wait_until(lambda: all(one.all_notified() for one in self.components), end - FLUSH_S)
+        for component in self.components:
+            component.close()
         await asyncio.sleep(FLUSH_S)
         if self.totals_timer is not None:
             self.totals_timer.cancel()
         totals = self.ledger.totals.changed_totals()
         log.info("stopped", extra={"owed": self.ledger.unanswered_count(), "standing": standing, **totals})
         self.change_log.stop()
-        self.turn.close()
+        self.input_queue.close()
 
-    async def wait_until(self, holds: Callable[[], bool], end: float) -> None:
-        while not holds() and self.loop.time() < end:
+    async def wait_until(self, condition: Callable[[], bool], end: float) -> None:
+        """Waits until the condition holds, or until `end` (loop time)."""
+        while not condition() and self.loop.time() < end:
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/rowanmast/app/switches.py
+++ b/rowanmast/app/switches.py
@@ -1,4 +1,4 @@
-"""The links to all switches, kept in step with what discovery tells of them."""
+"""The links to all switches, updated from the change log."""
 
 from __future__ import annotations
 
@@ -14,37 +14,41 @@
 
 
 class ManagedLink(SwitchLink, Protocol):
-    """A switch link as the assembly holds it."""
+    """A switch link with the life cycle that the router manages."""
 
-    address: Address  # as the change log gives it; a new one tells of a new machine
+    address: Address  # from the change log; another address means another machine
 
-    def remove(self, on_empty: Callable[[], None]) -> None:
-        """Removed by discovery. Calls that stand may stay; `on_empty` is called after them."""
+    def remove(self, on_removal_done: Callable[[], None]) -> None:
+        """Discovery has removed the switch; standing calls remain.
+
+        `on_removal_done` is called when all have ended.
+        """
 
     def restore(self) -> None:
-        """Discovery lists it again, before all was over."""
+        """Discovery lists the removed switch again while calls still stand there."""
 
     def abandon(self) -> None:
-        """Its machine is another one now: what stands there is over."""
+        """The switch has moved to another machine: ends the calls that stand here and closes the link."""
 
     def verify_alive(self) -> None:
-        """Asks for a sign of life, so that `survives_restart` is true only if one comes."""
+        """Probes the switch, so that `survives_restart` is true only if it answers."""
 
     def close(self) -> None:
-        """Lets go of every socket."""
+        """Closes all sockets."""
 
 
 class SwitchLinks:
-    """One link for each switch listed, and for each removed one on which calls still stand."""
+    """One link for each listed switch and for each removed switch with standing calls."""
 
     def __init__(self, own_exchange: int, make_link: Callable[[str, Address], ManagedLink]) -> None:
         self.own_exchange = own_exchange
         self.make_link = make_link
-        self.by_exchange: dict[str, SwitchLink] = {}  # all of them, as the ledger uses them
+        self.by_exchange: dict[str, SwitchLink] = {}  # all links, for the ledger
         self.listed: dict[str, ManagedLink] = {}
         self.removed: dict[str, ManagedLink] = {}
 
     def update(self, change: Change) -> None:
+        """Adds and removes links according to a change from the change log."""
         if change.exchange_list.kind is api.ListKind.FULL:
             for exchange in self.listed.keys() - {entry.exchange for entry in change.exchange_list.entries}:
                 self.remove(exchange)
@@ -75,12 +79,13 @@
             link.remove(partial(self.drop_removed, exchange, link))
 
     def drop_removed(self, exchange: str, link: ManagedLink) -> None:
-        """Nothing is left on the link of a switch that was removed."""
+        """Deletes the link to a removed switch once its last call has ended."""
         if self.removed.get(exchange) is link:
             del self.removed[exchange]
             del self.by_exchange[exchange]
 
     def verify_alive(self) -> None:
+        """Probes all switches."""
         for link in (*self.listed.values(), *self.removed.values()):
             link.verify_alive()
 
--- a/rowanmast/call_agent.py
+++ b/rowanmast/call_agent.py
@@ -1,8 +1,8 @@
-"""Decides routes and admission for one exchange's call agent; its types are in `interface.py`.
+"""Routing and admission decisions of one exchange's call agent; the types are in `interface.py`.
 
-The mechanism is Call Count Control: fresh arrivals are counted over an interval, and when they came
-faster than a level, only a set rate is let through in the next one. The parts: the gate, the far
-exchanges, the call ledger, and the agent that routes by them.
+Admission is Call Count Control: fresh arrivals are counted over an interval T, and when their rate exceeds
+a level, only a set rate is admitted in the next interval. The parts are the admission gate, the state of the
+other exchanges, the pending calls, and the agent that routes by them.
 """
 
 from __future__ import annotations
@@ -40,203 +40,256 @@
     TimerExpired,
 )
 
-SECOND = 1_000_000_000
-ARRIVALS_PER_T = 12.0  # arrivals that T should hold: fewer are noise, more come late
-T_MIN_NS, T_MAX_NS = SECOND // 4, 2 * SECOND  # bounds of T at any observed rate
-EVALUATION_NS = SECOND  # set-up delays are judged over this span
-THROTTLE_RATIO = 0.8  # the rate let through, as a share of the level
-LEVEL_CUT, LEVEL_RISE = 0.8, 1.3  # change of the level for a span over and under the delay target
-RETRANSMIT_FRACTION = 0.5  # delay target as a share of the resend time: a repeat is work that no count shows
-OBJECTIVE_FRACTION = 0.25  # delay target as a share of the shortest aim, where nothing is sent again
-MIN_DELAY_FACTOR = 1.6  # limit of a set-up delay, in quickest delays: a long path takes about the target
-
-DELAY_CAP = 2  # delay limits; cap for one sample: a single slow answer says little of the rest
-TRUNK_RESERVATION = 0.7  # square roots of a group's size kept from calls in transit
-TANDEM_CANDIDATES = 6  # tandems drawn after a block, of which the one with most free circuits is taken
-LOW_PRIORITY = 0.5  # worth in means under which a call yields to fresh ones
-RECOVERY_NS = 2 * SECOND  # time without a late set-up after which a far exchange has room for all
-LOW_RATE = 0.25  # fraction of the usual rate below which an accept rate is applied; above, others leave room
-MIN_THROTTLE = 0.2  # share to hold back under which a report is noise
-REPORT_TTL_NS = SECOND  # a report older than this says nothing of now
-MAX_LATE = 1.0  # set-ups past the delay target that one far exchange may owe us, for a call of mean worth
-MAX_LATE_TOTAL = 3.0  # the same for all far exchanges at once: then our own processor is late
-MAX_PRIORITY = 3.0  # a call counts as at most this many of mean worth
-MIN_LEVEL_FRACTION = 0.2  # least level, as a fraction of the offered rate: a level of zero never recovers
-DEFAULT_HOLD_NS = 12 * SECOND  # mean length of a call, where the settings tell none
-DETOUR_MIN, DETOUR_MAX = 0.08, 0.67  # of mean call lengths: onward circuits come free in a small part of one
-
-BUSY_MIN, BUSY_MAX = 0.02, 0.17  # the same for a number whose lines are busy
-PAUSE_PER_AGENT_NS = 0.15 * SECOND  # longest pause before an unresponsive exchange is retried, for each agent
-LOSS_WINDOW_NS = 10 * SECOND  # time within which two lost answers tell that more get lost
-DEVIATION_FACTOR = 2.0  # mean deviations over the mean delay that answers usually take at most
-COLD_USE = 0.8  # share of a cold exchange's budget that is used: bursts and other agents' guesses
+SECOND = 1_000_000_000  # nanoseconds
+# Arrivals that an interval T should hold: fewer give a noisy rate, more delay the reaction to overload.
+ARRIVALS_PER_INTERVAL = 12.0
+MIN_INTERVAL_NS, MAX_INTERVAL_NS = SECOND // 4, 2 * SECOND  # bounds of T at any observed rate
+EVALUATION_INTERVAL_NS = SECOND  # set-up delays are evaluated over this interval
+THROTTLE_RATIO = 0.8  # admitted rate while throttled, as a fraction of the level
+# Factor applied to the level after an evaluation interval above or below the delay target.
+LEVEL_DECREASE_FACTOR, LEVEL_INCREASE_FACTOR = 0.8, 1.3
+# The delay target as a fraction of the retransmission time: a retransmitted set-up is work that no counter
+# shows, so set-ups should be answered well before it.
+RETRANSMIT_FRACTION = 0.5
+# The delay target as a fraction of the shortest objective. It applies where set-ups are not retransmitted, or
+# where it is less than the fraction of the retransmission time.
+OBJECTIVE_FRACTION = 0.25
+# An answer is late above this many times the minimum delay, if that is more than the delay target. On a long
+# path even an idle exchange takes about as long as the target, and would otherwise count as late for ever.
+MIN_DELAY_FACTOR = 1.6
+# One delay counts as at most this many delay limits: a single answer that was held up says little of the
+# rest.
+DELAY_CAP_FACTOR = 2
+TRUNK_RESERVATION_FACTOR = 0.7  # circuits reserved for direct calls, in square roots of the group size
+TANDEM_CANDIDATES = 6  # tandems drawn at random after a block; the one with most free circuits is used
+# Under load, a call of lower priority than this (in mean worths of a call) yields to fresh calls.
+LOW_PRIORITY = 0.5
+RECOVERY_NS = 2 * SECOND  # an exchange without a late answer for this long has capacity for all calls
+# A reported accept rate throttles set-ups only if it is below this fraction of the usual rate of the other
+# agents: well above it, the other agents leave room for this one.
+LOW_ACCEPT_RATE_FRACTION = 0.25
+MIN_THROTTLE_FRACTION = 0.2  # a smaller fraction to hold back is treated as noise
+REPORT_TTL_NS = SECOND  # an older request to hold back does not describe the present load
+# Late unanswered set-ups at one exchange that stop further calls of mean priority to it.
+MAX_LATE_PER_EXCHANGE = 1.0
+# The same over all exchanges: then the agent's own processor is late.
+MAX_LATE_TOTAL = 3.0
+MAX_PRIORITY = 3.0  # upper bound of a call's priority, in mean worths of a call
+# Lowest level, as a fraction of the offered rate: a level of zero would admit nothing and never rise again.
+MIN_LEVEL_FRACTION = 0.2
+DEFAULT_HOLD_NS = 12 * SECOND  # mean holding time of a call, where the settings give none
+# First and longest pause of a tandem after crankback, in mean holding times. An onward circuit becomes free
+# within a small part of one holding time.
+MIN_TANDEM_PAUSE_HOLDS, MAX_TANDEM_PAUSE_HOLDS = 0.08, 0.67
+# First and longest pause of a number whose lines are all busy, in mean holding times.
+MIN_BUSY_PAUSE_HOLDS, MAX_BUSY_PAUSE_HOLDS = 0.02, 0.17
+# Longest pause before a set-up probes a failing exchange, for each agent of the network, as all of them
+# probe it.
+PAUSE_PER_AGENT_NS = 0.15 * SECOND
+LOSS_WINDOW_NS = 10 * SECOND  # two lost answers within this time mean that more are being lost
+DEVIATION_FACTOR = 2.0  # an answer usually comes within the mean delay plus this many mean deviations
+# The fraction of the estimated capacity of a cold exchange that is used. The rest is a margin for bursts and
+# for the error of the other agents' estimates.
+COLD_BUDGET_FRACTION = 0.8
 
 
 class AdmissionGate:
-    """One Call Count Control: counts arrivals over T and throttles the next T when they exceed a level."""
+    """Call Count Control: counts arrivals over an interval T, and throttles the next T above a level.
+
+    Times are in nanoseconds, rates per second.
+    """
 
     def __init__(self, now: int) -> None:
-        self.level = math.inf
-        self.rate = 0.0  # arrivals a second, smoothed
-        self.interval_start, self.span, self.arrivals = now, T_MIN_NS, 0
+        self.level = math.inf  # arrival rate above which the next T is throttled
+        self.rate = 0.0  # arrival rate, smoothed
+        self.interval_start, self.interval_ns, self.arrivals = now, MIN_INTERVAL_NS, 0  # of the current T
         self.throttled = False
+        # Number of calls that may be admitted while throttled, and when it was last updated.
         self.credit, self.credit_time = 1.0, now
-        self.evaluation_start, self.admitted = now, 0
+        self.evaluation_start, self.admitted_count = now, 0  # of the current evaluation interval
 
     def advance(self, now: int) -> None:
-        """Closes the counting interval when its time is over."""
-        past = now - self.interval_start
-        if past >= self.span:
-            counted = self.arrivals * SECOND / past
-            weight = min(1.0, past / T_MAX_NS)
+        """Closes the counting interval T once it has elapsed and sets the length of the next."""
+        elapsed = now - self.interval_start
+        if elapsed >= self.interval_ns:
+            counted = self.arrivals * SECOND / elapsed
+            weight = min(1.0, elapsed / MAX_INTERVAL_NS)
             self.rate += weight * (counted - self.rate)
             self.throttled = counted > self.level
-            self.span = int(min(max(ARRIVALS_PER_T / max(self.rate, 0.001) * SECOND, T_MIN_NS), T_MAX_NS))
+            self.interval_ns = int(
+                min(
+                    max(ARRIVALS_PER_INTERVAL / max(self.rate, 0.001) * SECOND, MIN_INTERVAL_NS),
+                    MAX_INTERVAL_NS,
+                )
+            )
             self.interval_start, self.arrivals = now, 0
 
     def adjust_level(self, now: int, late: bool) -> None:
-        """Moves the level by whether set-ups of the span that ends now were late."""
-        let_through = self.admitted * SECOND / max(now - self.evaluation_start, 1)
+        """Adjusts the level at the end of an evaluation interval; `late`: whether its set-ups were late."""
+        admitted_rate = self.admitted_count * SECOND / max(now - self.evaluation_start, 1)
         if late:
-            self.level = let_through if math.isinf(self.level) else self.level * LEVEL_CUT
+            self.level = admitted_rate if math.isinf(self.level) else self.level * LEVEL_DECREASE_FACTOR
             self.level = max(self.level, self.rate * MIN_LEVEL_FRACTION, 1.0)
         elif not math.isinf(self.level):
-            self.level *= LEVEL_RISE
+            self.level *= LEVEL_INCREASE_FACTOR
             if self.level > 2 * max(self.rate, 1.0):
                 self.level = math.inf
-        self.evaluation_start, self.admitted = now, 0
+        self.evaluation_start, self.admitted_count = now, 0
 
     def admit(self, now: int, priority: float) -> bool:
-        """Counts one arrival and tells whether it is let through, evenly spread when throttled.
+        """Counts one arrival and returns whether it is admitted; throttled admissions are evenly spaced.
 
-        Worth (1 is the mean) decides who gets the rate: dear calls draw on half an interval ahead.
+        The priority (1 is the mean) decides which calls use the admitted rate.
         """
         self.arrivals += 1
         rate = self.level * THROTTLE_RATIO if self.throttled else 0.0
         self.credit = min(2.0, self.credit + (now - self.credit_time) * rate / SECOND)
         self.credit_time = now
-        ahead = rate * self.span / SECOND / 2 * (1.0 - 1.0 / priority) if priority > 1.0 else priority - 1.0
+        # A call of high priority may use up to half an interval of credit in advance; one of a priority below
+        # the mean has to wait for more credit.
+        ahead = (
+            rate * self.interval_ns / SECOND / 2 * (1.0 - 1.0 / priority)
+            if priority > 1.0
+            else priority - 1.0
+        )
         if self.throttled and self.credit < 1.0 - ahead:
             return False
         self.credit -= 1.0 if self.throttled else 0.0
-        self.admitted += 1
+        self.admitted_count += 1
         return True
 
 
 @dataclass(slots=True)
 class FarExchange:
-    """What is known of one exchange."""
+    """The state of one other exchange, as far as it is known. Times are in nanoseconds."""
 
     entry: ListEntry
-    free: float | None = None
-    group_size: float | None = None
-    cold_sends: list[int] = field(default_factory=list)  # when set-ups went to it while it was cold
-    unanswered: dict[tuple[str, int], int] = field(default_factory=dict)  # when sent
-    delay_sum: int = 0  # of set-ups answered in the judged span, summed
-    answers: int = 0
-    min_delay: int = 0  # delay of the quickest answer: the way and the work, without a wait
-    failures: int = 0  # set-ups that it did not take, since the last that it did
-    last_failure: int = 0  # when the last of these was heard of
-    paused_until: int = 0
-    last_timeout: int = -LOSS_WINDOW_NS  # when a set-up to it last timed out, with no answer since
-    last_late: int = -RECOVERY_NS  # when it last owed or answered a set-up past the target
-    throttle: float = 0.0  # share of new set-ups that its last report asks to keep back
-    throttled_at: int = 0  # when that report came
-    credit: float = 0.0  # set-ups that may go while it asks so
-    aged: deque[tuple[int, tuple[str, int]]] = field(default_factory=deque)  # past the target: sent, which
-
-    def late_count(self, since: int, enough: float) -> int:
-        """How many unanswered set-ups were sent up to `since`, counted no further than `enough`."""
+    free_circuits: float | None = None  # circuits free on the group to it; None: unknown
+    group_size: float | None = None  # circuits of that group; None: unknown
+    cold_send_times: list[int] = field(default_factory=list)  # times of set-ups sent while it was cold
+    # When each set-up without an answer was sent, by (call, attempt), in the order sent.
+    unanswered: dict[tuple[str, int], int] = field(default_factory=dict)
+    delay_sum: int = 0  # over the set-ups answered in this evaluation interval
+    answer_count: int = 0  # set-ups answered in this evaluation interval
+    min_delay: int = 0  # of the quickest answer: path and processing, without queueing; 0: none yet
+    consecutive_failures: int = 0  # set-ups that it did not accept since the last answer
+    last_failure: int = 0  # when the latest of these was reported
+    paused_until: int = 0  # no set-ups until then, after failures
+    last_timeout: int = -LOSS_WINDOW_NS  # when a set-up last timed out, if none was answered since
+    last_late: int = -RECOVERY_NS  # when an answer last came after the delay limit
+    throttle_fraction: float = 0.0  # fraction of new set-ups to hold back, by its last report
+    throttled_at: int = 0  # when that report arrived
+    throttle_credit: float = 0.0  # set-ups that may be sent while it is throttled
+    # Set-ups that were still unanswered after the delay target: (when sent, attempt), in the order sent.
+    aged_attempts: deque[tuple[int, tuple[str, int]]] = field(default_factory=deque)
+
+    def late_count(self, sent_until: int, limit: float) -> int:
+        """How many unanswered set-ups were sent up to `sent_until`; stops counting at `limit`."""
         count = 0
         for sent in self.unanswered.values():
-            if sent > since or count >= enough:
+            if sent > sent_until or count >= limit:
                 break
             count += 1
         return count
 
-    def late_count_after(self, since: int, after: int, enough: float) -> int:
-        """The same of those sent later than `after`, a time that never goes back."""
-        while self.aged and (
-            self.aged[0][0] <= after or self.unanswered.get(self.aged[0][1]) != self.aged[0][0]
+    def late_count_after(self, sent_until: int, sent_after: int, limit: float) -> int:
+        """The same for those sent later than `sent_after`; it never decreases between calls of this method.
+
+        So attempts sent up to it can be dropped for good, as can those that have been answered.
+        """
+        while self.aged_attempts and (
+            self.aged_attempts[0][0] <= sent_after
+            or self.unanswered.get(self.aged_attempts[0][1]) != self.aged_attempts[0][0]
         ):
-            self.aged.popleft()
+            self.aged_attempts.popleft()
         count = 0
-        for sent, which in self.aged:
-            if sent > since or count >= enough:
+        for sent, attempt in self.aged_attempts:
+            if sent > sent_until or count >= limit:
                 break
-            count += self.unanswered.get(which) == sent
+            count += self.unanswered.get(attempt) == sent
         return count
 
-    def apply_report(self, report: LoadReport, now: int, usual: float) -> None:
+    def apply_report(self, report: LoadReport, now: int, usual_rate: float) -> None:
+        """Stores a load report; `usual_rate` is the set-ups per second that all other agents send to it."""
         if report.free_circuits is not None:
-            self.free = report.free_circuits
+            self.free_circuits = report.free_circuits
         if report.group_size is not None:
             self.group_size = report.group_size
         if report.throttle_fraction is not None:
-            self.throttle, self.throttled_at = min(report.throttle_fraction, 1.0), now
-        elif report.accept_rate is not None and usual > 0:
-            self.throttle, self.throttled_at = max(0.0, 1.0 - report.accept_rate / (usual * LOW_RATE)), now
+            self.throttle_fraction, self.throttled_at = min(report.throttle_fraction, 1.0), now
+        elif report.accept_rate is not None and usual_rate > 0:
+            self.throttle_fraction, self.throttled_at = (
+                max(0.0, 1.0 - report.accept_rate / (usual_rate * LOW_ACCEPT_RATE_FRACTION)),
+                now,
+            )
 
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call for which the final answer is still owed."""
+    """A call that has not had its final answer yet. Times are in nanoseconds."""
 
     call: Call
     width: int
-    deadline: int
-    objective: int = 0  # until when it stands in time
-    priority: float = 1.0  # what it may still earn, in means
+    deadline_ns: int  # when the final answer is due
+    objective_end_ns: int = 0  # the call counts as in time if it stands by then
+    priority: float = 1.0  # the worth that it may still earn, in mean worths
     attempts: int = 0
     in_flight: bool = False  # an attempt has no outcome yet
-    ran_at: str | None = None  # exchange of the first attempt that may have run
-    ran_sent: int = 0  # when that attempt was sent
-    not_before: int = 0  # the release must be waited for
-    tried: list[str] = field(default_factory=list)
+    may_have_run_on: str | None = None  # exchange of the first attempt that may have taken effect
+    may_have_run_sent_ns: int = 0  # when that attempt was sent
+    not_before_ns: int = 0  # no new attempt before the last one is released
+    tried_exchanges: list[str] = field(default_factory=list)  # exchanges that are not tried again
 
 
 class CallAgent:
-    """Makes the decisions of one call agent: events in, actions out."""
+    """Makes the decisions of one call agent: takes events, returns actions. Reads no clock, does no I/O."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.config = settings
+        self.settings = settings
         self.random = Random(seed)
         self.exchanges: dict[str, FarExchange] = {}
-        self.active: dict[int, FarExchange] = {}  # by number, the exchange that takes new calls
-        self.candidates: list[FarExchange] = []  # the same, to draw from
-        self.tandems: dict[int, str] = {}
-        self.paused: dict[tuple[str, int], tuple[float, int]] = {}  # detours turned back: pause, its end
-        self.pending: dict[str, PendingCall] = {}
+        self.active_exchanges: dict[int, FarExchange] = {}  # by number: those that accept new calls
+        self.tandem_candidates: list[FarExchange] = []  # the same as a list, from which tandems are drawn
+        self.last_tandems: dict[int, str] = {}  # by destination: the tandem used last
+        # By (tandem, destination): length and end of the pause after crankback.
+        self.paused_tandems: dict[tuple[str, int], tuple[float, int]] = {}
+        self.pending_calls: dict[str, PendingCall] = {}
         self.gate: AdmissionGate | None = None
-        self.first_dialled: OrderedDict[str, int] = OrderedDict()  # by number, to recognise redials
-        self.busy: dict[str, tuple[float, int]] = {}  # numbers with all lines busy: pause, its end
+        # By number: when it was first dialled; a later call to it may be a redial.
+        self.first_dialled: OrderedDict[str, int] = OrderedDict()
+        # By number with all lines busy: length and end of the pause.
+        self.busy_numbers: dict[str, tuple[float, int]] = {}
         self.mean_worth = 0.0
         self.level_cut_at = 0  # when the gate's level was last cut
-        self.last_on_time = 0  # when the last set-up left that was answered within the target
-        self.recent_sends: deque[tuple[int, FarExchange, tuple[str, int]]] = deque()  # set-ups as they left
-        self.late_exchanges: dict[str, FarExchange] = {}  # with unanswered set-ups past the target
+        self.last_on_time_sent = 0  # when the latest set-up left that was answered within its limit
+        self.recent_sends: deque[tuple[int, FarExchange, tuple[str, int]]] = deque()  # in the order sent
+        self.late_exchanges: dict[str, FarExchange] = {}  # with late unanswered set-ups
         self.actions: list[Action] = []
         self.now = 0
-        self.send_rate = 0.0  # set-ups a second to one warm exchange, smoothed
-        self.sent_count, self.sent_since = 0, 0
-        self.last_losses = (-LOSS_WINDOW_NS, -LOSS_WINDOW_NS)  # when answers were last seen to be lost
-        self.mean_delay = self.deviation = float(settings.period_ns)  # of answers: mean and mean deviation
-        self.cold_exchanges: list[FarExchange] = []  # exchanges that are cold
-        self.cold_budget, self.credited = 0.0, 0  # set-ups to cold ones, last credited
-        self.unusable = not settings.classes or settings.period_ns <= 0 or settings.agents <= 0
+        self.send_rate = 0.0  # set-ups per second to one warm exchange, smoothed
+        self.sent_count, self.sent_since = 0, 0  # set-ups counted for the send rate; since when
+        # The last two times at which answers were found to be lost.
+        self.last_losses = (-LOSS_WINDOW_NS, -LOSS_WINDOW_NS)
+        # Mean and mean deviation of the delays of answers, smoothed.
+        self.mean_delay_ns = self.delay_deviation_ns = float(settings.period_ns)
+        self.cold_exchanges: list[FarExchange] = []
+        # Number of set-ups that may be sent to cold exchanges, and when it was last updated.
+        self.cold_budget, self.cold_budget_updated = 0.0, 0
+        self.settings_unusable = not settings.classes or settings.period_ns <= 0 or settings.agents <= 0
         self.unusable_logged = False
-        aims = [item.objective_ns for item in settings.classes if item.objective_ns > 0] or [SECOND]
+        objectives = [item.objective_ns for item in settings.classes if item.objective_ns > 0] or [SECOND]
         resend = int(settings.retransmit_ns * RETRANSMIT_FRACTION)
         holds = [item.mean_hold_ns for item in settings.classes if item.mean_hold_ns] or [DEFAULT_HOLD_NS]
-        self.hold = sum(holds) / len(holds)
-        self.delay_target = min(filter(None, (resend, int(min(aims) * OBJECTIVE_FRACTION))))
+        self.mean_hold_ns = sum(holds) / len(holds)
+        self.delay_target_ns = min(filter(None, (resend, int(min(objectives) * OBJECTIVE_FRACTION))))
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
+        """Processes one event and returns the actions that follow from it."""
         self.now, self.actions = now_ns, []
         if self.gate is None:
             self.gate, self.sent_since = AdmissionGate(now_ns), now_ns
         self.gate.advance(now_ns)
-        if now_ns - self.gate.evaluation_start >= EVALUATION_NS:
+        if now_ns - self.gate.evaluation_start >= EVALUATION_INTERVAL_NS:
             self.evaluate()
         match event:
             case Call():
@@ -244,12 +297,12 @@
             case CallAnswered():
                 self.on_answered(event)
             case AttemptEnded():
-                self.on_ended(event)
+                self.on_attempt_ended(event)
             case LoadReported():
                 if event.exchange in self.exchanges:
                     self.apply_report(self.exchanges[event.exchange], event.report)
             case CallerHungUp():
-                self.pending.pop(event.call, None)
+                self.pending_calls.pop(event.call, None)
             case TimerExpired():
                 self.on_timer(event.token)
             case ExchangeList():
@@ -257,467 +310,602 @@
         return self.actions
 
     def evaluate(self) -> None:
-        """Judges the gate by delay that most far ends share: the rest is theirs, not our processor's."""
+        """Adjusts the gate by the set-up delays of the interval.
+
+        Set-ups count as late only if they are late at all exchanges that answered: a delay that all have in
+        common is that of this agent's processor, any other is that of an exchange or its path.
+        """
         assert self.gate is not None
-        means = [(far.delay_sum // far.answers, far) for far in self.exchanges.values() if far.answers]
-        late = bool(means) and all(mean > self.delay_limit(far) for mean, far in means)
+        means = [
+            (exchange.delay_sum // exchange.answer_count, exchange)
+            for exchange in self.exchanges.values()
+            if exchange.answer_count
+        ]
+        late = bool(means) and all(mean > self.delay_limit(exchange) for mean, exchange in means)
         if late:
             self.level_cut_at = self.now
-        if means or not any(far.unanswered for far in self.exchanges.values()):
+        if means or not any(exchange.unanswered for exchange in self.exchanges.values()):
             self.gate.adjust_level(self.now, late)
         else:
-            self.gate.evaluation_start, self.gate.admitted = self.now, 0
-        for far in self.exchanges.values():
-            far.delay_sum = far.answers = 0
+            self.gate.evaluation_start, self.gate.admitted_count = self.now, 0
+        for exchange in self.exchanges.values():
+            exchange.delay_sum = exchange.answer_count = 0
 
     # The list of exchanges
 
     def on_list(self, event: ExchangeList) -> None:
+        """Takes over a list of exchanges, or its changes; asks for another one later if none was obtained."""
         if event.kind is ListKind.FAILED:
             self.actions.append(SetTimer(int(SECOND * self.random.uniform(0.5, 1.5)), "list"))
             return
-        named = {entry.exchange: entry for entry in event.entries}
+        listed = {entry.exchange: entry for entry in event.entries}
         if event.kind is not ListKind.CHANGES:
-            self.exchanges = {key: far for key, far in self.exchanges.items() if key in named}
-        for key, entry in named.items():
+            self.exchanges = {
+                exchange_id: exchange
+                for exchange_id, exchange in self.exchanges.items()
+                if exchange_id in listed
+            }
+        for exchange_id, entry in listed.items():
             if entry.state is ExchangeState.GONE:
-                self.exchanges.pop(key, None)
+                self.exchanges.pop(exchange_id, None)
                 continue
-            far = self.exchanges.setdefault(key, FarExchange(entry))
-            if far.entry.started_ns != entry.started_ns:  # what was known of the old process is void
-                far = self.exchanges[key] = FarExchange(entry, far.free, far.group_size)
-            far.entry = entry
-        self.active = {}
-        for far in self.exchanges.values():
-            other = self.active.get(far.entry.number)
-            newer = other is None or (far.entry.started_ns or 0) >= (other.entry.started_ns or 0)
-            if far.entry.state is ExchangeState.UP and newer:
-                self.active[far.entry.number] = far
-        self.candidates = list(self.active.values())
-        self.paused = {way: back for way, back in self.paused.items() if way[0] in self.exchanges}
+            exchange = self.exchanges.setdefault(exchange_id, FarExchange(entry))
+            # A new process: what was known of the old one is void, apart from the circuits.
+            if exchange.entry.started_ns != entry.started_ns:
+                exchange = self.exchanges[exchange_id] = FarExchange(
+                    entry, exchange.free_circuits, exchange.group_size
+                )
+            exchange.entry = entry
+        self.active_exchanges = {}
+        for exchange in self.exchanges.values():
+            other = self.active_exchanges.get(exchange.entry.number)
+            newer = other is None or (exchange.entry.started_ns or 0) >= (other.entry.started_ns or 0)
+            if exchange.entry.state is ExchangeState.UP and newer:
+                self.active_exchanges[exchange.entry.number] = exchange
+        self.tandem_candidates = list(self.active_exchanges.values())
+        self.paused_tandems = {
+            route: pause for route, pause in self.paused_tandems.items() if route[0] in self.exchanges
+        }
         if not self.cold_exchanges:
-            self.cold_budget, self.credited = (
-                (self.config.agent_index + 0.5) / max(self.config.agents, 1) % 1.0,
+            self.cold_budget, self.cold_budget_updated = (
+                (self.settings.agent_index + 0.5) / max(self.settings.agents, 1) % 1.0,
                 self.now,
             )
-        self.cold_exchanges = [far for far in self.candidates if self.is_cold(far)]
-        if self.config.must_subscribe and event.kind is ListKind.SAVED:
+        self.cold_exchanges = [exchange for exchange in self.tandem_candidates if self.is_cold(exchange)]
+        if self.settings.must_subscribe and event.kind is ListKind.SAVED:
             self.actions.append(Subscribe())
 
-    def is_cold(self, far: FarExchange) -> bool:
-        started = far.entry.started_ns
-        return started is not None and self.now - started < self.config.cold_ns
+    def is_cold(self, exchange: FarExchange) -> bool:
+        """Whether the exchange was started less than the cold time ago."""
+        started = exchange.entry.started_ns
+        return started is not None and self.now - started < self.settings.cold_ns
 
-    def has_budget(self, far: FarExchange) -> bool:
-        """Rule 4: our share of what cold exchanges can take, judged from the rate that warm ones take.
+    def has_budget(self, exchange: FarExchange) -> bool:
+        """Rule 4: whether this agent's share of what cold exchanges accept allows a set-up to this one.
 
-        The share of one exchange is less than a set-up where agents are many, so it is one credit for all
-        that are cold now; it grows from a part of one by the agent's number, so that agents come in turn.
+        The share is estimated from the rate of set-ups to warm exchanges. With many agents the share of one
+        cold exchange is less than one set-up, so all exchanges that are cold at the time draw on one credit.
+        The credit starts at a fraction given by the agent's index, so that the agents take turns.
         """
-        if not self.is_cold(far):
+        if not self.is_cold(exchange):
             return True
         self.cold_exchanges = [other for other in self.cold_exchanges if self.is_cold(other)]
-        window = self.config.collapse_after_ns
-        cap = 2 * self.send_rate * self.config.cold_share * self.config.collapse_load * COLD_USE / SECOND
-        rate = cap * len(self.cold_exchanges)
-        self.cold_budget = min(self.cold_budget + rate * (self.now - self.credited), max(rate * window, 1.0))
-        self.credited = self.now
-        far.cold_sends = [sent for sent in far.cold_sends if self.now - sent < window]
-        return self.cold_budget >= 1.0 and len(far.cold_sends) < max(2 * cap * window, 1.0)
+        window = self.settings.collapse_after_ns
+        rate_per_exchange = (
+            2
+            * self.send_rate
+            * self.settings.initial_capacity_fraction
+            * self.settings.collapse_multiple
+            * COLD_BUDGET_FRACTION
+            / SECOND
+        )
+        rate = rate_per_exchange * len(self.cold_exchanges)
+        self.cold_budget = min(
+            self.cold_budget + rate * (self.now - self.cold_budget_updated), max(rate * window, 1.0)
+        )
+        self.cold_budget_updated = self.now
+        exchange.cold_send_times = [sent for sent in exchange.cold_send_times if self.now - sent < window]
+        return self.cold_budget >= 1.0 and len(exchange.cold_send_times) < max(
+            2 * rate_per_exchange * window, 1.0
+        )
 
     # Calls
 
     def on_call(self, call: Call) -> None:
-        if self.unusable or not 0 <= call.klass < len(self.config.classes):
+        """Admits and routes a call, or refuses it."""
+        if self.settings_unusable or not 0 <= call.klass < len(self.settings.classes):
             if not self.unusable_logged:
-                self.actions.append(LogMessage("settings are not fit to act on: calls are refused"))
+                self.actions.append(LogMessage("unusable settings or unknown call class: calls are refused"))
             self.unusable_logged = True
             self.actions.append(RefuseCall(call.call, 0))
             return
-        width = call.width or self.config.classes[call.klass].width
-        held = PendingCall(call, width, self.now + call.remaining_ns)
-        self.pending[call.call] = held
-        held.priority = self.compute_priority(held)
+        width = call.width or self.settings.classes[call.klass].width
+        pending = PendingCall(call, width, self.now + call.remaining_ns)
+        self.pending_calls[call.call] = pending
+        pending.priority = self.compute_priority(pending)
         assert self.gate is not None
-        if self.config.meshed and (call.dest not in self.active or call.dest == self.config.own_exchange):
-            self.refuse(held)  # no way leads there, so it is no arrival that the gate need count
+        if self.settings.meshed and (
+            call.dest not in self.active_exchanges or call.dest == self.settings.own_exchange
+        ):
+            self.refuse(pending)  # no route exists, so the gate does not count it
             return
-        lines = call.transit or self.now >= self.busy.get(call.key, (0, 0))[1]
-        let = lines and self.gate.admit(self.now, held.priority) and not self.must_yield(held)
-        enough = MAX_LATE_TOTAL * (1 + self.tolerance()) * held.priority
-        if let and self.total_late(enough) < enough:
-            self.route(held)
+        line_free = call.transit or self.now >= self.busy_numbers.get(call.key, (0, 0))[1]
+        admitted = line_free and self.gate.admit(self.now, pending.priority) and not self.must_yield(pending)
+        limit = MAX_LATE_TOTAL * (1 + self.tolerated_unanswered()) * pending.priority
+        if admitted and self.total_late(limit) < limit:
+            self.route(pending)
         else:
-            self.refuse(held)
+            self.refuse(pending)
 
-    def must_yield(self, held: PendingCall) -> bool:
-        """Whether a call past its aim would take work that fresh ones want: its way was late of late."""
+    def must_yield(self, pending: PendingCall) -> bool:
+        """Whether a call of low priority, such as a redial past its objective, yields to fresh calls.
+
+        It does while a level is set or answers from its destination were late recently: its set-up would
+        take processor time that fresh calls need.
+        """
         assert self.gate is not None
-        far = self.active.get(held.call.dest)
-        busy = not math.isinf(self.gate.level) or (far is not None and self.now - far.last_late < RECOVERY_NS)
-        return busy and held.priority < LOW_PRIORITY
-
-    def compute_priority(self, held: PendingCall) -> float:
-        """What the call may still earn against the mean: a redial past its aim earns the late share."""
-        call = held.call
-        kind = self.config.classes[call.klass]
-        worth = kind.worth
-        held.objective = self.now + kind.objective_ns
+        exchange = self.active_exchanges.get(pending.call.dest)
+        busy = not math.isinf(self.gate.level) or (
+            exchange is not None and self.now - exchange.last_late < RECOVERY_NS
+        )
+        return busy and pending.priority < LOW_PRIORITY
+
+    def compute_priority(self, pending: PendingCall) -> float:
+        """The worth that the call may still earn, relative to the mean worth.
+
+        A redial past the objective has the late worth of its class.
+        """
+        call = pending.call
+        call_class = self.settings.classes[call.klass]
+        worth = call_class.worth
+        pending.objective_end_ns = self.now + call_class.objective_ns
         if not call.transit:
-            for key, seen in list(islice(self.first_dialled.items(), 2)):  # the oldest come first
-                if self.now - seen > kind.deadline_ns:
+            for key, seen in list(islice(self.first_dialled.items(), 2)):  # oldest first
+                if self.now - seen > call_class.deadline_ns:
                     del self.first_dialled[key]
             first = self.first_dialled.setdefault(call.key, self.now) if call.key else self.now
-            held.objective = first + kind.objective_ns
-            if self.now + self.delay_target > held.objective:
-                worth *= kind.late_worth
-        self.mean_worth += (kind.worth - self.mean_worth) * (0.02 if self.mean_worth else 1.0)
+            pending.objective_end_ns = first + call_class.objective_ns
+            if self.now + self.delay_target_ns > pending.objective_end_ns:
+                worth *= call_class.late_worth
+        self.mean_worth += (call_class.worth - self.mean_worth) * (0.02 if self.mean_worth else 1.0)
         return min(worth / max(self.mean_worth, 1e-9), MAX_PRIORITY)
 
-    def total_late(self, enough: float) -> int:
-        """Late set-ups that left after the last one answered quickly: delay common to all is our own.
+    def total_late(self, limit: float) -> int:
+        """How many late set-ups were sent after the latest one that was answered in time.
 
-        Counted no further than `enough`, and only where some have aged, so that its cost stays the same.
+        Delay common to all exchanges is that of this agent's own processor. The method stops counting at
+        `limit` and looks only at exchanges with late set-ups, so that its cost stays bounded.
         """
-        while self.recent_sends and self.recent_sends[0][0] <= self.now - self.delay_target:
-            sent, far, which = self.recent_sends.popleft()
-            if sent > self.last_on_time and far.unanswered.get(which) == sent:
-                far.aged.append((sent, which))
-                self.late_exchanges[far.entry.exchange] = far
+        while self.recent_sends and self.recent_sends[0][0] <= self.now - self.delay_target_ns:
+            sent, exchange, attempt = self.recent_sends.popleft()
+            if sent > self.last_on_time_sent and exchange.unanswered.get(attempt) == sent:
+                exchange.aged_attempts.append((sent, attempt))
+                self.late_exchanges[exchange.entry.exchange] = exchange
         count = 0
-        for exchange, far in list(self.late_exchanges.items()):
-            known = self.exchanges.get(exchange) is far
-            count += far.late_count_after(self.cutoff(far), self.last_on_time, enough - count) * (
-                known and not far.failures
-            )
-            if not (known and far.aged):
-                del self.late_exchanges[exchange]
-            if count >= enough:
+        for exchange_id, exchange in list(self.late_exchanges.items()):
+            is_current = self.exchanges.get(exchange_id) is exchange
+            count += exchange.late_count_after(
+                self.late_cutoff(exchange), self.last_on_time_sent, limit - count
+            ) * (is_current and not exchange.consecutive_failures)
+            if not (is_current and exchange.aged_attempts):
+                del self.late_exchanges[exchange_id]
+            if count >= limit:
                 break
         return count
 
-    def delay_limit(self, far: FarExchange) -> int:
-        """How long a set-up to this exchange may take before it is late."""
-        return max(self.delay_target, int(far.min_delay * MIN_DELAY_FACTOR))
+    def delay_limit(self, exchange: FarExchange) -> int:
+        """The delay above which a set-up to this exchange is late."""
+        return max(self.delay_target_ns, int(exchange.min_delay * MIN_DELAY_FACTOR))
 
-    def cutoff(self, far: FarExchange) -> int:
-        """Until when a set-up must have left that is late now."""
-        return self.now - self.delay_limit(far)
+    def late_cutoff(self, exchange: FarExchange) -> int:
+        """A set-up sent up to this time and still unanswered is late."""
+        return self.now - self.delay_limit(exchange)
 
-    def route(self, held: PendingCall) -> None:
-        """Sends the call on its way, or refuses it when no way is left."""
-        if self.now < held.not_before:
+    def route(self, pending: PendingCall) -> None:
+        """Sends a set-up for the call, schedules a retry, or refuses the call."""
+        if self.now < pending.not_before_ns:
             return
-        spent = held.attempts >= self.config.max_attempts or self.now >= held.deadline - self.config.period_ns
-        far = None if spent else self.direct_route(held) or self.tandem_route(held)
-        if far is not None and self.may_repeat(held, far) and self.passes_throttle(far, held):
-            self.send(held, far)
-        elif far is not None or spent or not self.schedule_retry(held):
-            self.refuse(held)
+        spent = (
+            pending.attempts >= self.settings.max_attempts
+            or self.now >= pending.deadline_ns - self.settings.period_ns
+        )
+        exchange = None if spent else self.direct_route(pending) or self.tandem_route(pending)
+        if (
+            exchange is not None
+            and self.may_repeat(pending, exchange)
+            and self.passes_throttle(exchange, pending)
+        ):
+            self.send(pending, exchange)
+        elif exchange is not None or spent or not self.schedule_retry(pending):
+            self.refuse(pending)
 
-    def schedule_retry(self, held: PendingCall) -> bool:
-        """Keeps a call for a shut destination, to be tried again, while it can still stand in time.
+    def schedule_retry(self, pending: PendingCall) -> bool:
+        """Schedules a retry of a call to a failing destination, if the call can still stand in time.
 
-        That costs no processor anything, and a caller who is refused comes back past the aim.
+        Waiting costs no processor time, whereas a refused caller redials, and does so past the objective.
         """
-        far = self.active.get(held.call.dest)
+        exchange = self.active_exchanges.get(pending.call.dest)
         assert self.gate is not None
-        if far is None or not far.failures or held.call.transit or not math.isinf(self.gate.level):
+        if (
+            exchange is None
+            or not exchange.consecutive_failures
+            or pending.call.transit
+            or not math.isinf(self.gate.level)
+        ):
             return False
-        wait = max(far.paused_until - self.now, int(self.delay_target * self.random.uniform(0.5, 1.0)))
-        if self.now + wait + self.delay_target > min(held.objective, held.deadline):
+        wait = max(
+            exchange.paused_until - self.now, int(self.delay_target_ns * self.random.uniform(0.5, 1.0))
+        )
+        if self.now + wait + self.delay_target_ns > min(pending.objective_end_ns, pending.deadline_ns):
             return False
-        if far.entry.exchange in held.tried:
-            held.tried.remove(far.entry.exchange)
-        self.actions.append(SetTimer(wait, "call " + held.call.call))
+        if exchange.entry.exchange in pending.tried_exchanges:
+            pending.tried_exchanges.remove(exchange.entry.exchange)
+        self.actions.append(SetTimer(wait, "call " + pending.call.call))
         return True
 
-    def apply_report(self, far: FarExchange, report: LoadReport) -> None:
-        far.apply_report(report, self.now, self.send_rate * (self.config.agents - 1))
+    def apply_report(self, exchange: FarExchange, report: LoadReport) -> None:
+        exchange.apply_report(report, self.now, self.send_rate * (self.settings.agents - 1))
 
-    def passes_throttle(self, far: FarExchange, held: PendingCall) -> bool:
-        """Keeps back the share that the exchange asks for, while its word is fresh; dear calls go first."""
-        if self.now - far.throttled_at > REPORT_TTL_NS or far.throttle < MIN_THROTTLE:
+    def passes_throttle(self, exchange: FarExchange, pending: PendingCall) -> bool:
+        """Whether a recent load report lets the set-up pass; low priorities are held back first."""
+        if (
+            self.now - exchange.throttled_at > REPORT_TTL_NS
+            or exchange.throttle_fraction < MIN_THROTTLE_FRACTION
+        ):
             return True
-        far.credit = min(1.0, far.credit + 1.0 - far.throttle)
-        if far.credit * held.priority < 1.0:
+        exchange.throttle_credit = min(1.0, exchange.throttle_credit + 1.0 - exchange.throttle_fraction)
+        if exchange.throttle_credit * pending.priority < 1.0:
             return False
-        far.credit -= 1.0
+        exchange.throttle_credit -= 1.0
         return True
 
-    def usable(self, far: FarExchange, held: PendingCall, reserved: float) -> bool:
-        if far.entry.number == self.config.own_exchange or far.entry.exchange in held.tried:
+    def is_usable(self, exchange: FarExchange, pending: PendingCall, reserved: float) -> bool:
+        """Whether a set-up may be sent there, leaving `reserved` circuits free."""
+        if (
+            exchange.entry.number == self.settings.own_exchange
+            or exchange.entry.exchange in pending.tried_exchanges
+        ):
             return False
-        pools = self.config.classes[held.call.klass].skilled_pools
-        if not self.config.meshed and pools and far.entry.number not in pools:
+        pools = self.settings.classes[pending.call.klass].skilled_pools
+        if not self.settings.meshed and pools and exchange.entry.number not in pools:
             return False
-        if far.failures > self.tolerance() and (far.unanswered or self.now < far.paused_until):
-            return False  # it took nothing: one set-up at a time asks whether it is back
-        enough = (MAX_LATE + self.tolerance()) * held.priority
-        if far.unanswered and far.late_count(self.cutoff(far), enough) >= enough:
+        if exchange.consecutive_failures > self.tolerated_unanswered() and (
+            exchange.unanswered or self.now < exchange.paused_until
+        ):
+            return False  # one set-up at a time probes a failing exchange
+        limit = (MAX_LATE_PER_EXCHANGE + self.tolerated_unanswered()) * pending.priority
+        if exchange.unanswered and exchange.late_count(self.late_cutoff(exchange), limit) >= limit:
             return False
-        return (far.free is None or far.free >= held.width + reserved) and self.has_budget(far)
-
-    def direct_route(self, held: PendingCall) -> FarExchange | None:
-        far = self.active.get(held.call.dest)
-        if far is None:
+        return (
+            exchange.free_circuits is None or exchange.free_circuits >= pending.width + reserved
+        ) and self.has_budget(exchange)
+
+    def direct_route(self, pending: PendingCall) -> FarExchange | None:
+        """The destination itself, if it is usable; a call in transit leaves the reserved circuits free."""
+        exchange = self.active_exchanges.get(pending.call.dest)
+        if exchange is None:
             return None
-        kept = self.reserved_circuits(far, held) if held.call.transit else 0.0
-        return far if self.usable(far, held, kept) else None
-
-    def tandem_route(self, held: PendingCall) -> FarExchange | None:
-        """The tandem remembered for the destination; after a block the advised one, else one drawn."""
-        dest = held.call.dest
-        if held.call.transit or (self.config.meshed and dest not in self.active) or self.bars_tandems(dest):
+        reserved = self.reserved_circuits(exchange, pending) if pending.call.transit else 0.0
+        return exchange if self.is_usable(exchange, pending, reserved) else None
+
+    def tandem_route(self, pending: PendingCall) -> FarExchange | None:
+        """The tandem last used for the destination; if that is blocked, the advised one, else one drawn."""
+        dest = pending.call.dest
+        if (
+            pending.call.transit
+            or (self.settings.meshed and dest not in self.active_exchanges)
+            or self.bars_tandems(dest)
+        ):
             return None
-        known = self.exchanges.get(self.tandems.get(dest, ""))
-        if known is not None and self.usable_tandem(known, held):
-            return known
-        chosen = self.active.get(-1 if held.call.advised is None else held.call.advised)
-        if chosen is None or not self.usable_tandem(chosen, held):
-            drawn = self.random.sample(self.candidates, min(TANDEM_CANDIDATES, len(self.candidates)))
-            ways = [far for far in drawn if self.usable_tandem(far, held)]
-            chosen = max(ways, key=lambda far: far.free or 0.0, default=None)
+        last_used = self.exchanges.get(self.last_tandems.get(dest, ""))
+        if last_used is not None and self.is_usable_tandem(last_used, pending):
+            return last_used
+        chosen = self.active_exchanges.get(-1 if pending.call.advised is None else pending.call.advised)
+        if chosen is None or not self.is_usable_tandem(chosen, pending):
+            drawn = self.random.sample(
+                self.tandem_candidates, min(TANDEM_CANDIDATES, len(self.tandem_candidates))
+            )
+            usable = [exchange for exchange in drawn if self.is_usable_tandem(exchange, pending)]
+            chosen = max(usable, key=lambda exchange: exchange.free_circuits or 0.0, default=None)
         if chosen is not None:
-            self.tandems[dest] = chosen.entry.exchange
+            self.last_tandems[dest] = chosen.entry.exchange
         return chosen
 
     def bars_tandems(self, dest: int) -> bool:
-        """A detour is a third more work for all: none while a gate throttles or set-ups are late.
+        """Whether calls to the destination may not use a tandem.
 
-        Nor does one help a destination that is itself shut or still cold.
+        A call by a tandem is a third more work for all processors, so there is none while the gate throttles
+        or set-ups are late. Nor does a tandem help where the destination itself is failing, late or cold.
         """
         assert self.gate is not None
-        far = self.active.get(dest)
-        if far is not None and (far.failures > self.tolerance() or far.late_count(self.cutoff(far), 1)):
+        exchange = self.active_exchanges.get(dest)
+        if exchange is not None and (
+            exchange.consecutive_failures > self.tolerated_unanswered()
+            or exchange.late_count(self.late_cutoff(exchange), 1)
+        ):
             return True
-        if far is not None and not self.has_budget(far):
+        if exchange is not None and not self.has_budget(exchange):
             return True
         return self.gate.throttled or self.total_late(1) > 0
 
-    def usable_tandem(self, far: FarExchange, held: PendingCall) -> bool:
-        """Whether a detour by this exchange leaves room for its direct calls, and none waits there."""
-        if far.entry.number == held.call.dest or self.active.get(far.entry.number) is not far:
+    def is_usable_tandem(self, exchange: FarExchange, pending: PendingCall) -> bool:
+        """Whether the tandem is not paused, has no late set-ups and has circuits beyond the reserved ones."""
+        if (
+            exchange.entry.number == pending.call.dest
+            or self.active_exchanges.get(exchange.entry.number) is not exchange
+        ):
             return False
-        kept = self.reserved_circuits(far, held)
-        _, end = self.paused.get((far.entry.exchange, held.call.dest), (0, 0))
-        return self.now >= end and self.usable(far, held, kept) and far.late_count(self.cutoff(far), 1) == 0
+        reserved = self.reserved_circuits(exchange, pending)
+        _, end = self.paused_tandems.get((exchange.entry.exchange, pending.call.dest), (0, 0))
+        return (
+            self.now >= end
+            and self.is_usable(exchange, pending, reserved)
+            and exchange.late_count(self.late_cutoff(exchange), 1) == 0
+        )
 
     @staticmethod
-    def reserved_circuits(far: FarExchange, held: PendingCall) -> float:
-        """Circuits kept back from detours: fewer from a dear call, which may well be worth two."""
-        return TRUNK_RESERVATION * math.sqrt(far.group_size or 0.0) / max(held.priority, LOW_PRIORITY)
-
-    def may_repeat(self, held: PendingCall, far: FarExchange) -> bool:
-        """Rule 2: a call whose class forbids repeats is sent again only where a repeat is dropped."""
-        kind = self.config.classes[held.call.klass]
-        if held.ran_at is None or kind.idempotency is Idempotency.SAFE:
+    def reserved_circuits(exchange: FarExchange, pending: PendingCall) -> float:
+        """Circuits reserved for direct calls; fewer against a high priority, which may be worth two calls."""
+        return (
+            TRUNK_RESERVATION_FACTOR
+            * math.sqrt(exchange.group_size or 0.0)
+            / max(pending.priority, LOW_PRIORITY)
+        )
+
+    def may_repeat(self, pending: PendingCall, exchange: FarExchange) -> bool:
+        """Rule 2: a call whose class forbids repeats is sent again only where duplicates are dropped."""
+        call_class = self.settings.classes[pending.call.klass]
+        if pending.may_have_run_on is None or call_class.idempotency is Idempotency.SAFE:
             return True
-        if kind.idempotency is Idempotency.UNSAFE or self.now - held.ran_sent >= kind.dedup_window_ns:
+        if (
+            call_class.idempotency is Idempotency.UNSAFE
+            or self.now - pending.may_have_run_sent_ns >= call_class.dedup_window_ns
+        ):
             return False
-        first = self.exchanges.get(held.ran_at)
-        if kind.key_scope == "all" or first is None:
-            return kind.key_scope == "all"
-        if kind.key_scope == "zone":
-            return first.entry.zone is not None and first.entry.zone == far.entry.zone
-        return first.entry.number == far.entry.number
-
-    def send(self, held: PendingCall, far: FarExchange) -> None:
-        held.in_flight = True
-        held.attempts += 1
-        held.tried.append(far.entry.exchange)
-        if held.ran_at is None:
-            held.ran_sent = self.now
-        which = held.call.call, held.attempts - 1
-        far.unanswered[which] = self.now
-        self.recent_sends.append((self.now, far, which))
-        if self.is_cold(far):
-            far.cold_sends.append(self.now)
+        first = self.exchanges.get(pending.may_have_run_on)
+        if call_class.key_scope == "all" or first is None:
+            return call_class.key_scope == "all"
+        if call_class.key_scope == "zone":
+            return first.entry.zone is not None and first.entry.zone == exchange.entry.zone
+        return first.entry.number == exchange.entry.number
+
+    def send(self, pending: PendingCall, exchange: FarExchange) -> None:
+        """Sends the next attempt of the call to the exchange."""
+        pending.in_flight = True
+        pending.attempts += 1
+        pending.tried_exchanges.append(exchange.entry.exchange)
+        if pending.may_have_run_on is None:
+            pending.may_have_run_sent_ns = self.now
+        attempt = pending.call.call, pending.attempts - 1
+        exchange.unanswered[attempt] = self.now
+        self.recent_sends.append((self.now, exchange, attempt))
+        if self.is_cold(exchange):
+            exchange.cold_send_times.append(self.now)
             self.cold_budget -= 1.0
         self.count_send()
-        timeout = max(min(held.deadline - self.now - self.config.period_ns, self.answer_timeout(held)), 1)
-        self.actions.append(SetUp(held.call.call, far.entry.exchange, timeout))
+        timeout = max(
+            min(pending.deadline_ns - self.now - self.settings.period_ns, self.answer_timeout(pending)), 1
+        )
+        self.actions.append(SetUp(pending.call.call, exchange.entry.exchange, timeout))
 
-    def answer_timeout(self, held: PendingCall) -> int:
-        """How long to wait for an answer: while some get lost, as long as leaves time to try again.
+    def answer_timeout(self, pending: PendingCall) -> int:
+        """How long to wait for an answer; while answers are being lost, short enough to allow a retry.
 
-        A set-up that is merely slow would be done twice, so this acts only on answers seen to be lost, and
-        where a further attempt is allowed and can still stand within the call's aim.
+        Repeating a set-up that is only slow does the work twice, so the time is cut only when answers are
+        known to be lost, and when a further attempt is allowed and can still stand within the objective.
         """
         assert self.gate is not None
-        usual = int(self.mean_delay + DEVIATION_FACTOR * self.deviation)
-        left = held.objective - self.now - self.config.release_guard_ns - usual
-        again = not held.call.transit and self.config.classes[held.call.klass].idempotency is Idempotency.SAFE
-        spare = math.isinf(self.gate.level)  # else a fresh call wants the work
-        return left if again and spare and self.answers_lost() and left > usual else held.deadline - self.now
+        usual_delay = int(self.mean_delay_ns + DEVIATION_FACTOR * self.delay_deviation_ns)
+        shortened = pending.objective_end_ns - self.now - self.settings.release_guard_ns - usual_delay
+        may_retry = (
+            not pending.call.transit
+            and self.settings.classes[pending.call.klass].idempotency is Idempotency.SAFE
+        )
+        # While a level is set, fresh calls need the capacity.
+        has_capacity = math.isinf(self.gate.level)
+        return (
+            shortened
+            if may_retry and has_capacity and self.answers_lost() and shortened > usual_delay
+            else pending.deadline_ns - self.now
+        )
 
     def answers_lost(self) -> bool:
+        """Whether two losses were detected within the loss window."""
         return self.now - self.last_losses[0] < LOSS_WINDOW_NS
 
-    def tolerance(self) -> int:
-        """Set-ups without an answer that tell nothing: one while answers get lost, else none."""
+    def tolerated_unanswered(self) -> int:
+        """Unanswered set-ups to disregard at an exchange: one while answers are being lost, else none."""
         return 1 if self.answers_lost() else 0
 
-    def detect_losses(self, far: FarExchange, sent: int) -> None:
-        """An exchange works in turn: direct set-ups that left well before one now answered are lost.
+    def detect_losses(self, exchange: FarExchange, sent: int) -> None:
+        """Treats direct set-ups that were sent well before one now answered as lost.
 
-        They tell nothing of how late it is, so they are owed no more. Well before is more than jitter makes
-        up, for which the quickest answer's delay stands: by the time that a set-up counts as late, others
-        that left after it have told.
+        An exchange answers in the order of arrival, so an answer overtaken by a later one is lost. Such a
+        set-up shows nothing of the exchange's delay and no longer counts as unanswered. "Well before" must
+        be more than jitter accounts for; the delay of the quickest answer serves as this margin. By the time
+        that a lost set-up would count as late, set-ups sent after it have shown the loss.
         """
-        margin = min(far.min_delay or self.delay_target, self.delay_target)
-        lost = far.last_timeout > self.now - LOSS_WINDOW_NS
-        far.last_timeout = -LOSS_WINDOW_NS
-        for (call, attempt), _ in list(takewhile(lambda it: it[1] <= sent - margin, far.unanswered.items())):
-            held = self.pending.get(call)
-            if held is not None and held.call.dest == far.entry.number:
-                del far.unanswered[call, attempt]
+        margin = min(exchange.min_delay or self.delay_target_ns, self.delay_target_ns)
+        lost = exchange.last_timeout > self.now - LOSS_WINDOW_NS
+        exchange.last_timeout = -LOSS_WINDOW_NS
+        for (call, attempt), _ in list(
+            takewhile(lambda item: item[1] <= sent - margin, exchange.unanswered.items())
+        ):
+            pending = self.pending_calls.get(call)
+            if pending is not None and pending.call.dest == exchange.entry.number:
+                del exchange.unanswered[call, attempt]
                 lost = True
         if lost:
             self.last_losses = (self.last_losses[1], self.now)
 
     def count_send(self) -> None:
+        """Counts a set-up for the smoothed rate of set-ups to one warm exchange."""
         self.sent_count += 1
-        past = self.now - self.sent_since
-        if past >= T_MAX_NS:
-            each = self.sent_count * SECOND / past / max(len(self.active) - 1, 1)
-            self.send_rate += (each - self.send_rate) * (0.3 if self.send_rate else 1.0)
+        elapsed = self.now - self.sent_since
+        if elapsed >= MAX_INTERVAL_NS:
+            rate_per_exchange = self.sent_count * SECOND / elapsed / max(len(self.active_exchanges) - 1, 1)
+            self.send_rate += (rate_per_exchange - self.send_rate) * (0.3 if self.send_rate else 1.0)
             self.sent_count, self.sent_since = 0, self.now
 
-    def refuse(self, held: PendingCall) -> None:
-        del self.pending[held.call.call]
-        kind = self.config.classes[held.call.klass]
-        if held.ran_at is not None and kind.idempotency is not Idempotency.SAFE:
-            self.actions.append(FailCall(held.call.call))
+    def refuse(self, pending: PendingCall) -> None:
+        """Refuses the call, or fails it if a repeat by the caller could do harm."""
+        del self.pending_calls[pending.call.call]
+        call_class = self.settings.classes[pending.call.klass]
+        if pending.may_have_run_on is not None and call_class.idempotency is not Idempotency.SAFE:
+            self.actions.append(FailCall(pending.call.call))
         else:
-            self.actions.append(RefuseCall(held.call.call, self.retry_after(held.call)))
+            self.actions.append(RefuseCall(pending.call.call, self.retry_after(pending.call)))
 
     def retry_after(self, call: Call) -> int:
-        """How long it is of no use to come back: until the next interval, or until a pause is over."""
+        """Nanoseconds until a redial may succeed: until the next interval T or the end of a pause."""
         assert self.gate is not None
-        ends = [self.busy.get(call.key, (0, 0))[1]]
+        ends = [self.busy_numbers.get(call.key, (0, 0))[1]]
         if self.gate.throttled:
-            ends.append(self.gate.interval_start + self.gate.span)
-        far = self.active.get(call.dest)
-        if far is not None and far.failures:
-            ends.append(far.paused_until)
-        return min(max(max(ends) - self.now, 0), self.config.max_retry_after_ns)
+            ends.append(self.gate.interval_start + self.gate.interval_ns)
+        exchange = self.active_exchanges.get(call.dest)
+        if exchange is not None and exchange.consecutive_failures:
+            ends.append(exchange.paused_until)
+        return min(max(max(ends) - self.now, 0), self.settings.max_retry_after_ns)
 
     # Outcomes
 
     def on_answered(self, event: CallAnswered) -> None:
-        held = self.pending.pop(event.call, None)
-        if held is not None:
-            self.paused.pop((event.exchange, held.call.dest), None)
-        far = self.exchanges.get(event.exchange)
-        if far is not None:
-            far.failures = 0
-            far.unanswered.pop((event.call, event.attempt), None)
-            self.detect_losses(far, self.now - event.delay_ns)
-            if event.delay_ns <= self.delay_target:  # one that has waited tells nothing of the way
-                far.min_delay = min(far.min_delay or event.delay_ns, event.delay_ns)
-            if self.now - event.delay_ns >= self.level_cut_at:  # earlier ones tell of the time before the cut
-                far.delay_sum += min(event.delay_ns, DELAY_CAP * self.delay_limit(far))
-                far.answers += 1
-            if event.delay_ns > self.delay_limit(far):
-                far.last_late = self.now
+        """Ends the pending call and updates the delays of the exchange that answered."""
+        pending = self.pending_calls.pop(event.call, None)
+        if pending is not None:
+            self.paused_tandems.pop((event.exchange, pending.call.dest), None)
+        exchange = self.exchanges.get(event.exchange)
+        if exchange is not None:
+            exchange.consecutive_failures = 0
+            exchange.unanswered.pop((event.call, event.attempt), None)
+            self.detect_losses(exchange, self.now - event.delay_ns)
+            # A set-up that was queued does not show the path delay.
+            if event.delay_ns <= self.delay_target_ns:
+                exchange.min_delay = min(exchange.min_delay or event.delay_ns, event.delay_ns)
+            # Set-ups sent before the level was cut show the load before the cut.
+            if self.now - event.delay_ns >= self.level_cut_at:
+                exchange.delay_sum += min(event.delay_ns, DELAY_CAP_FACTOR * self.delay_limit(exchange))
+                exchange.answer_count += 1
+            if event.delay_ns > self.delay_limit(exchange):
+                exchange.last_late = self.now
             else:
-                self.last_on_time = max(self.last_on_time, self.now - event.delay_ns)
-        self.deviation += (abs(event.delay_ns - self.mean_delay) - self.deviation) * 0.05
-        self.mean_delay += (event.delay_ns - self.mean_delay) * 0.05
-
-    def on_ended(self, event: AttemptEnded) -> None:
-        far = self.exchanges.get(event.exchange)
-        if far is not None:
-            self.apply_report(far, event.report)
-            unanswered = far.unanswered.pop((event.call, event.attempt), None) is not None
+                self.last_on_time_sent = max(self.last_on_time_sent, self.now - event.delay_ns)
+        self.delay_deviation_ns += (abs(event.delay_ns - self.mean_delay_ns) - self.delay_deviation_ns) * 0.05
+        self.mean_delay_ns += (event.delay_ns - self.mean_delay_ns) * 0.05
+
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """Makes another attempt, waits for the release of this one, or gives the final answer."""
+        exchange = self.exchanges.get(event.exchange)
+        if exchange is not None:
+            self.apply_report(exchange, event.report)
+            unanswered = exchange.unanswered.pop((event.call, event.attempt), None) is not None
             if unanswered:
-                self.on_failed(far, event)
-        held = self.pending.get(event.call)
-        if held is None:
+                self.on_attempt_failed(exchange, event)
+        pending = self.pending_calls.get(event.call)
+        if pending is None:
             return
-        held.in_flight = False
+        pending.in_flight = False
         if event.final:
-            del self.pending[event.call]
+            del self.pending_calls[event.call]
             return
-        if event.outcome not in (Outcome.FULL, Outcome.UNREACHED, Outcome.NOT_SENT) and held.ran_at is None:
-            held.ran_at = event.exchange
+        if (
+            event.outcome not in (Outcome.FULL, Outcome.UNREACHED, Outcome.NOT_SENT)
+            and pending.may_have_run_on is None
+        ):
+            pending.may_have_run_on = event.exchange
         if event.cause is Cause.LINES_BUSY:
-            self.on_busy(held)
+            self.on_lines_busy(pending)
         if event.outcome in (Outcome.TIMED_OUT, Outcome.CUT, Outcome.CALLED_OFF):
-            if event.outcome is Outcome.TIMED_OUT and self.answers_lost() and event.exchange in held.tried:
-                held.tried.remove(event.exchange)  # it did the work; its next answer may well come
-            self.await_release(held)
+            if (
+                event.outcome is Outcome.TIMED_OUT
+                and self.answers_lost()
+                and event.exchange in pending.tried_exchanges
+            ):
+                pending.tried_exchanges.remove(event.exchange)  # only its answer was lost
+            self.await_release(pending)
         elif self.may_reroute(event):
-            if self.tandems.get(held.call.dest) == event.exchange:
-                del self.tandems[held.call.dest]
-            if event.outcome is Outcome.BUSY and far is self.active.get(held.call.dest):
-                held.tried = []  # no other way goes round the destination
-            self.route(held)
-        elif event.cause is not Cause.PROCESSOR_FULL or not self.schedule_retry(held):
-            self.refuse(held)
-
-    def on_failed(self, far: FarExchange, event: AttemptEnded) -> None:
-        """Shuts the gate to an exchange that takes nothing, be it full, hung, dead or cut off."""
+            if self.last_tandems.get(pending.call.dest) == event.exchange:
+                del self.last_tandems[pending.call.dest]
+            if event.outcome is Outcome.BUSY and exchange is self.active_exchanges.get(pending.call.dest):
+                pending.tried_exchanges = []  # no other route avoids the destination
+            self.route(pending)
+        elif event.cause is not Cause.PROCESSOR_FULL or not self.schedule_retry(pending):
+            self.refuse(pending)
+
+    def on_attempt_failed(self, exchange: FarExchange, event: AttemptEnded) -> None:
+        """Pauses set-ups to an exchange that accepts none: it is full, unresponsive, down or unreachable."""
         if event.cause is Cause.DESTINATION_FULL:
-            held = self.pending.get(event.call)
-            beyond = self.active.get(held.call.dest) if held else None
-            if beyond is None:
+            pending = self.pending_calls.get(event.call)
+            destination = self.active_exchanges.get(pending.call.dest) if pending else None
+            if destination is None:
                 return
-            far = beyond
+            exchange = destination
         if event.outcome is Outcome.BUSY or event.cause is Cause.CRANKBACK:
-            far.failures = 0
+            exchange.consecutive_failures = 0
             self.on_crankback(event)
             return
         full = event.cause in (Cause.PROCESSOR_FULL, Cause.DESTINATION_FULL)
         if event.outcome not in (Outcome.TIMED_OUT, Outcome.UNREACHED) and not full:
             return
-        if far.failures and self.now - event.delay_ns <= far.last_failure:
-            return  # it left before that and tells nothing new
-        far.failures += 1
-        far.last_failure = self.now
+        if exchange.consecutive_failures and self.now - event.delay_ns <= exchange.last_failure:
+            return  # sent before the last failure was known, so it says nothing new
+        exchange.consecutive_failures += 1
+        exchange.last_failure = self.now
         if event.outcome is Outcome.TIMED_OUT:
-            far.last_timeout = self.now
-        longest = PAUSE_PER_AGENT_NS * self.config.agents * self.random.uniform(0.75, 1.25)
-        pause = longest * min(0.125 * 2.0**far.failures, 1.0)
-        far.paused_until = max(far.paused_until, self.now + max(int(pause), event.retry_after_ns or 0))
-
-    def on_busy(self, held: PendingCall) -> None:
-        """Shuts the gate to a number whose lines are busy, for a pause by how often they were found so."""
-        for key in [key for key, (_, end) in self.busy.items() if self.now - end > BUSY_MAX * self.hold][:2]:
-            del self.busy[key]
-        pause = min(self.busy.get(held.call.key, (BUSY_MIN * self.hold / 2, 0))[0] * 2, BUSY_MAX * self.hold)
-        self.busy[held.call.key] = (pause, self.now + int(pause * self.random.uniform(0.75, 1.25)))
+            exchange.last_timeout = self.now
+        longest = PAUSE_PER_AGENT_NS * self.settings.agents * self.random.uniform(0.75, 1.25)
+        pause = longest * min(0.125 * 2.0**exchange.consecutive_failures, 1.0)
+        exchange.paused_until = max(
+            exchange.paused_until, self.now + max(int(pause), event.retry_after_ns or 0)
+        )
+
+    def on_lines_busy(self, pending: PendingCall) -> None:
+        """Pauses calls to a number whose lines are busy; the pause doubles each time they are found busy."""
+        for key in [
+            key
+            for key, (_, end) in self.busy_numbers.items()
+            if self.now - end > MAX_BUSY_PAUSE_HOLDS * self.mean_hold_ns
+        ][:2]:
+            del self.busy_numbers[key]
+        pause = min(
+            self.busy_numbers.get(pending.call.key, (MIN_BUSY_PAUSE_HOLDS * self.mean_hold_ns / 2, 0))[0] * 2,
+            MAX_BUSY_PAUSE_HOLDS * self.mean_hold_ns,
+        )
+        self.busy_numbers[pending.call.key] = (pause, self.now + int(pause * self.random.uniform(0.75, 1.25)))
 
     def on_crankback(self, event: AttemptEnded) -> None:
-        """Lets a detour rest that had no circuit onward: it costs two processors work each time."""
-        held = self.pending.get(event.call)
-        if held is not None and event.cause is Cause.CRANKBACK:
-            way = (event.exchange, held.call.dest)
-            pause = min(self.paused.get(way, (DETOUR_MIN * self.hold / 2, 0))[0] * 2, DETOUR_MAX * self.hold)
-            self.paused[way] = (pause, self.now + int(pause * self.random.uniform(0.75, 1.25)))
+        """Pauses a tandem that had no onward circuit: each such attempt costs work on two processors."""
+        pending = self.pending_calls.get(event.call)
+        if pending is not None and event.cause is Cause.CRANKBACK:
+            key = (event.exchange, pending.call.dest)
+            pause = min(
+                self.paused_tandems.get(key, (MIN_TANDEM_PAUSE_HOLDS * self.mean_hold_ns / 2, 0))[0] * 2,
+                MAX_TANDEM_PAUSE_HOLDS * self.mean_hold_ns,
+            )
+            self.paused_tandems[key] = (pause, self.now + int(pause * self.random.uniform(0.75, 1.25)))
 
     @staticmethod
     def may_reroute(event: AttemptEnded) -> bool:
-        """Whether a further set-up may do better: not when the destination or our own processor is full.
+        """Whether another set-up may succeed: not if the destination's or the own processor is full.
 
-        An error without a cause is a signalling fault, which tells nothing of the next set-up.
+        An error without a cause is a signalling fault, which says nothing of the next set-up.
         """
         if event.outcome is Outcome.UNREACHED or (event.outcome is Outcome.BUSY and event.cause is None):
             return True
         return event.cause in (Cause.NO_CIRCUIT, Cause.CRANKBACK)
 
-    def await_release(self, held: PendingCall) -> None:
-        """Rule 5: what the attempt held may still be taken, so the call waits or is given up."""
-        held.not_before = self.now + self.config.release_guard_ns
-        if held.not_before + self.config.period_ns >= held.deadline or held.call.transit:
-            self.refuse(held)
+    def await_release(self, pending: PendingCall) -> None:
+        """Rule 5: the attempt may still occupy circuits, so the call waits, or ends if no time is left."""
+        pending.not_before_ns = self.now + self.settings.release_guard_ns
+        if pending.not_before_ns + self.settings.period_ns >= pending.deadline_ns or pending.call.transit:
+            self.refuse(pending)
         else:
-            self.actions.append(SetTimer(self.config.release_guard_ns, "call " + held.call.call))
+            self.actions.append(SetTimer(self.settings.release_guard_ns, "call " + pending.call.call))
 
     def on_timer(self, token: str) -> None:
+        """Requests the list of exchanges again, or routes the call that the token names."""
         if token == "list":
-            self.actions.append(Subscribe() if self.config.must_subscribe else RequestList())
-        held = self.pending.get(token.removeprefix("call "))
-        if held is not None and not held.in_flight:
-            self.route(held)
+            self.actions.append(Subscribe() if self.settings.must_subscribe else RequestList())
+        pending = self.pending_calls.get(token.removeprefix("call "))
+        if pending is not None and not pending.in_flight:
+            self.route(pending)
--- a/rowanmast/causes.py
+++ b/rowanmast/causes.py
@@ -1,4 +1,4 @@
-"""Q.850 causes of releases and the notes beside them, as every wire here uses them."""
+"""Q.850 release causes and the notes that come with them, common to all protocols here."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 MANDATORY_MISSING = 96
 INTERWORKING = 127
 
-OUTCOME_BY_CAUSE = {  # a release before the answer
+OUTCOME_BY_CAUSE = {  # releases before the answer; any other cause is CUT
     34: api.Outcome.FULL,
     17: api.Outcome.BUSY,
     47: api.Outcome.BUSY,
@@ -26,10 +26,10 @@
 
 
 def outcome_before_answer(cause: int) -> api.Outcome:
-    """How an attempt ended that was released before its answer."""
+    """The outcome of an attempt that was released before its answer."""
     return OUTCOME_BY_CAUSE.get(cause, api.Outcome.CUT)
 
 
 def outcome_after_answer(cause: int) -> api.Outcome:
-    """How a call ended that stood."""
+    """The outcome of a standing call that was released."""
     return api.Outcome.DONE if cause == NORMAL_CLEARING else api.Outcome.CUT
--- a/rowanmast/cli/__init__.py
+++ b/rowanmast/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one file a sub-command, each parsing, calling and printing."""
+"""The command line, with one module for each sub-command."""
--- a/rowanmast/cli/check.py
+++ b/rowanmast/cli/check.py
@@ -1,4 +1,4 @@
-"""`rowanmast check`: says whether files can be used, and where they can't, why."""
+"""`rowanmast check`: validates configuration and settings files."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 def check(
     files: Annotated[
         list[str],
-        typer.Argument(help="Configurations of the platform (.json) or settings of ours (any other name)."),
+        typer.Argument(help="Platform configurations (.json) or Rowanmast settings files (any other name)."),
     ],
 ) -> None:
-    """Check configuration files; exit code 1 if one can't be used."""
-    wrong = 0
+    """Check configuration files. The exit code is 1 if a file is invalid."""
+    invalid = 0
     for name in files:
         try:
             typer.echo(f"{name}: {summarize(name)}")
         except ConfigError as error:
-            wrong += 1
+            invalid += 1
             typer.echo(str(error), err=True)
-    raise typer.Exit(1 if wrong else 0)
+    raise typer.Exit(1 if invalid else 0)
 
 
 def summarize(name: str) -> str:
-    """What a file says, in a few words. Raises ConfigError."""
+    """A one-line summary of a file. Raises ConfigError."""
     if name.endswith(".json"):
         config = read_config(name, Reader())
         switches = sum(len(change.exchange_list.entries) for change in config.known)
         classes = ", ".join(config.classes)
-        return f"fit: router {config.name}, classes {classes}, {switches} switches known"
+        return f"valid: router {config.name}, classes {classes}, {switches} switches known"
     options = read_options(name)
     if options.iax is None:
-        return "fit: no IAX2"
-    pair = "with a pair" if options.iax.pair is not None else "without a pair"
-    return f"fit: IAX2 at {options.iax.listen[0]}:{options.iax.listen[1]}, {pair}"
+        return "valid: no IAX2"
+    pair = "with a VRRP pair" if options.iax.pair is not None else "without a VRRP pair"
+    return f"valid: IAX2 at {options.iax.listen[0]}:{options.iax.listen[1]}, {pair}"
--- a/rowanmast/cli/demo.py
+++ b/rowanmast/cli/demo.py
@@ -1,4 +1,4 @@
-"""`rowanmast demo`: a router with toy switches and stations on loopback, for a few seconds."""
+"""`rowanmast demo`: runs a router with simulated switches and stations on loopback for a few seconds."""
 
 from __future__ import annotations
 
@@ -16,21 +16,25 @@
 
 
 def demo(
-    seconds: Annotated[float, typer.Option(min=0.5, max=600, help="How long calls come.")] = 5.0,
-    rate: Annotated[float, typer.Option(min=0.1, max=2000, help="Calls a second, in the mean.")] = 60.0,
-    switches: Annotated[int, typer.Option(min=1, max=50, help="Toy switches.")] = 5,
-    circuits: Annotated[int, typer.Option(min=2, max=10_000, help="Circuits to each, half to some.")] = 30,
-    seed: Annotated[int, typer.Option(min=0, help="For the same calls again.")] = 1,
+    seconds: Annotated[
+        float, typer.Option(min=0.5, max=600, help="Seconds for which calls are placed.")
+    ] = 5.0,
+    rate: Annotated[float, typer.Option(min=0.1, max=2000, help="Mean calls per second.")] = 60.0,
+    switches: Annotated[int, typer.Option(min=1, max=50, help="Simulated switches.")] = 5,
+    circuits: Annotated[
+        int, typer.Option(min=2, max=10_000, help="Circuits to each switch; every second switch gets half.")
+    ] = 30,
+    seed: Annotated[int, typer.Option(min=0, help="Seed of the random calls.")] = 1,
 ) -> None:
-    """Place calls through a router on loopback and print what became of them."""
+    """Place calls through a router on loopback and print their outcomes."""
     console = Console()
     plan = DemoPlan(seconds=seconds, rate=rate, switches=switches, circuits=circuits, seed=seed)
     with Live(Text("starting"), console=console, refresh_per_second=4, transient=True) as live:
 
-        def progress(past: float, counts: StationCounts) -> None:
+        def progress(elapsed_s: float, counts: StationCounts) -> None:
             live.update(
                 Text(
-                    f"{past:5.1f} s  offered {counts.offered}  stood {counts.stood}  "
+                    f"{elapsed_s:5.1f} s  offered {counts.offered}  stood {counts.stood}  "
                     f"refused {counts.refused}  failed {counts.failed}"
                 )
             )
@@ -47,17 +51,17 @@
 
 
 def result_tables(result: DemoResult) -> Group:
-    """The outcome of all calls, and what each switch took."""
+    """Tables of the outcomes of all calls and of the calls taken by each switch."""
     counts = result.counts
     calls = Table(title="Calls")
-    for head in ("offered", "stood", "refused", "failed", "transited", "mean ms", "p50 ms", "p99 ms"):
-        calls.add_column(head, justify="right")
+    for heading in ("offered", "stood", "refused", "failed", "transited", "mean ms", "p50 ms", "p99 ms"):
+        calls.add_column(heading, justify="right")
     figures = (counts.offered, counts.stood, counts.refused, counts.failed, result.tandem_calls)
     delays = (result.mean_ms(), result.percentile_ms(0.5), result.percentile_ms(0.99))
     calls.add_row(*map(str, figures), *(f"{delay:.1f}" for delay in delays))
     switches = Table(title="Switches")
-    for head in ("switch", "circuits", "taken", "passed on"):
-        switches.add_column(head, justify="left" if head == "switch" else "right")
+    for heading in ("switch", "circuits", "taken", "passed on"):
+        switches.add_column(heading, justify="left" if heading == "switch" else "right")
     for name, *row in result.by_switch:
         switches.add_row(name, *map(str, row))
     return Group(calls, switches)
--- a/rowanmast/cli/run.py
+++ b/rowanmast/cli/run.py
@@ -1,4 +1,4 @@
-"""`rowanmast run`: the daemon."""
+"""`rowanmast run`: runs the daemon."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 def run(
     config: Annotated[
-        str | None, typer.Option(envvar="PROXY_CONFIG", help="The platform's configuration, JSON.")
+        str | None, typer.Option(envvar="PROXY_CONFIG", help="Platform configuration file (JSON).")
     ] = None,
     settings: Annotated[
         str | None,
-        typer.Option(envvar="ROWANMAST_SETTINGS", help="Our own settings, protobuf text format."),
+        typer.Option(envvar="ROWANMAST_SETTINGS", help="Rowanmast settings file (protobuf text format)."),
     ] = None,
 ) -> None:
-    """Serve as one call router until SIGTERM."""
+    """Run a call router until SIGTERM."""
     raise typer.Exit(daemon.start(config, settings))
--- a/rowanmast/cli/trial.py
+++ b/rowanmast/cli/trial.py
@@ -20,12 +20,12 @@
 
 
 def run_seed(seed: int) -> TrialResult:
-    """One drawn trial, in this process."""
+    """Runs the trial of one seed in this process."""
     return asyncio.run(run_trial(draw_schedule(seed)))
 
 
 def parse_seeds(text: str) -> list[int]:
-    """`7`, or `1..50` with both ends. Raises typer.BadParameter."""
+    """Parses a seed such as `7`, or an inclusive range such as `1..50`. Raises typer.BadParameter."""
     first, dots, last = text.partition("..")
     try:
         return list(range(int(first), int(last) + 1)) if dots else [int(first)]
@@ -36,11 +36,13 @@
 @app.command("run")
 def run(
     seeds: Annotated[str, typer.Option(help="A seed, or a range such as 1..50.")] = "1..10",
-    jobs: Annotated[int, typer.Option(min=1, max=16, help="Trials at a time.")] = 2,
-    report: Annotated[Path | None, typer.Option(help="Write a JSON report here.")] = None,
-    folder: Annotated[Path | None, typer.Option(help="Write a timeline of each failure here.")] = None,
+    jobs: Annotated[int, typer.Option(min=1, max=16, help="Trials run in parallel.")] = 2,
+    report: Annotated[Path | None, typer.Option(help="Write a JSON report to this file.")] = None,
+    folder: Annotated[
+        Path | None, typer.Option(help="Write the timeline of each failed trial to this folder.")
+    ] = None,
 ) -> None:
-    """Run the trials of these seeds; the exit code is 1 if a rule was broken."""
+    """Run the trials of the given seeds. The exit code is 1 if a rule was broken."""
     console = Console()
     numbers = parse_seeds(seeds)
     with ProcessPoolExecutor(jobs) as pool:
@@ -60,7 +62,7 @@
 
 @app.command("show")
 def show(seed: Annotated[int, typer.Argument(min=0)]) -> None:
-    """Run one seed and print its faults, what was broken, and what was seen of those calls."""
+    """Run one seed and print its faults, the broken rules and the events of the calls concerned."""
     for line in timeline(draw_schedule(seed), run_seed(seed)):
         print(line)
 
@@ -73,14 +75,14 @@
 
 
 def results_table(results: list[TrialResult]) -> Table:
-    """The trials with a broken rule, and the sum of all."""
-    made = Table(title="Trials")
-    for head in ("seed", "offered", "stood", "refused", "failed", "lag ms", "broken"):
-        made.add_column(head, justify="left" if head == "broken" else "right")
+    """A table of the trials in which a rule was broken."""
+    table = Table(title="Trials")
+    for heading in ("seed", "offered", "stood", "refused", "failed", "lag ms", "broken"):
+        table.add_column(heading, justify="left" if heading == "broken" else "right")
     for result in results:
         if not result.passed:
-            made.add_row(str(result.seed), *count_cells(result), f"{result.by_rule()} {result.errors[:1]}")
-    return made
+            table.add_row(str(result.seed), *count_cells(result), f"{result.by_rule()} {result.errors[:1]}")
+    return table
 
 
 def count_cells(result: TrialResult) -> list[str]:
--- a/rowanmast/config.py
+++ b/rowanmast/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: what PROXY_CONFIG names. Our own settings are read in `options`."""
+"""The platform's configuration file, named by PROXY_CONFIG. The router's settings are read in `options`."""
 
 from __future__ import annotations
 
@@ -10,29 +10,31 @@
 from rowanmast import interface as api
 from rowanmast import vrrp
 from rowanmast.net.changelog import Change, ChangeLogError, Reader, parse_address
-from rowanmast.settings import index_by_name, optional_number, read_settings, section
+from rowanmast.settings import get_section, index_by_name, optional_number, read_settings
 
 
 class ConfigError(Exception):
-    """The configuration can't be acted on; the text says why."""
+    """The configuration is not usable; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """A checked configuration."""
+
     path: str
     name: str
     listen: tuple[str, int]
     seed: int
-    sockets: int
+    sockets: int  # limit of open sockets
     changelog: tuple[str, int]
-    known: list[Change]
+    known: list[Change]  # entries of the change log known at the start
     settings: api.Settings
-    classes: dict[str, int]
-    connect_s: float
+    classes: dict[str, int]  # class name -> index in `settings.classes`
+    connect_s: float  # time limit of a connect to a switch
 
 
 def read_config(path: str | None, reader: Reader) -> Config:
-    """The configuration in a file. Raises ConfigError with one line that names the file."""
+    """Reads and checks a configuration file. Raises ConfigError with one line that names the file."""
     if not path:
         raise ConfigError("PROXY_CONFIG is not set")
     try:
@@ -46,12 +48,12 @@
 
 
 def check_config(config: Any, reader: Reader, source: str = "configuration") -> Config:
-    """The configuration in a decoded document of the same form; `source` names it in errors."""
+    """Checks a decoded configuration document; `source` names it in the messages of ConfigError."""
     try:
         info = config["settings"]
         settings = read_settings(info)
         if not settings.classes:
-            raise ConfigError(f"{source}: settings hold no classes of call")
+            raise ConfigError(f"{source}: settings.services: no classes of call are defined")
         return Config(
             path=source,
             name=str(config["name"]),
@@ -62,7 +64,7 @@
             known=reader.read(config["known"]),
             settings=settings,
             classes=index_by_name(info["services"]),
-            connect_s=(optional_number(section(info, "limits").get("connect_timeout_ns")) or 5e8) / 1e9,
+            connect_s=(optional_number(get_section(info, "limits").get("connect_timeout_ns")) or 5e8) / 1e9,
         )
     except KeyError as error:
         raise ConfigError(f"{source}: {error} is missing") from None
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IaxConfig:
-    """Where IAX2 is spoken: our address, and those of the switches that speak it, by their names."""
+    """The IAX2 settings: the router's own address and those of the IAX2 switches, by switch name."""
 
     listen: tuple[str, int]
     switches: dict[str, tuple[str, int]]
@@ -81,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PairConfig:
-    """The other router of a pair, and the VRRP of the two."""
+    """The VRRP settings of a router pair: own address, address of the other router, parameters."""
 
     listen: tuple[str, int]
     peer: tuple[str, int]
--- a/rowanmast/core/__init__.py
+++ b/rowanmast/core/__init__.py
@@ -1,1 +1,1 @@
-"""The call ledger: it knows calls, attempts, deadlines and the rules, but no wire and no sockets."""
+"""The core of the router: the ledger of calls and its interfaces, without wire protocols and sockets."""
--- a/rowanmast/core/coldshare.py
+++ b/rowanmast/core/coldshare.py
@@ -1,13 +1,15 @@
-"""How the routers of one process divide what a cold switch may be sent: no clock, no sockets, no randomness.
-
-Every router keeps to a share of its own, judged from what it sends to warm switches (the module's
-`has_budget`). Two routers in one process stand in for one, so together they may send a cold switch no more
-than that one would: each copy would round its share up to a set-up, and each would start its count anew.
-The account here is kept over all of them: the rate at which together they send to a warm switch, one credit
-for all cold switches, and a window for each. A copy that had more of late leaves a credit for one that was
-turned down, so that a busy one can't starve the others. Times are microseconds of the monotonic clock.
-
-The copies run on threads of their own, so each question takes a lock.
+"""Divides the set-ups that may be sent to a cold switch among the routers of one process.
+
+The decision module limits a router's set-ups to a cold switch (one that has just started) to a share that it
+derives from the router's rate to warm switches. Several routers in one process take the place of one, so
+together they may send a cold switch no more than one router would. Separate limits would exceed that: each
+router rounds its share up to a whole set-up, and each starts its count from zero. Hence one common account:
+the combined rate to a warm switch, one credit for all cold switches, and a window of recent set-ups for each
+cold switch. A router that had more of the window leaves a credit for one that was denied, so that a busy
+router can't starve the others.
+
+Times are microseconds of the monotonic clock, passed in by the caller; the module has no clock, I/O or
+randomness. The routers run on threads of their own, so each request takes a lock.
 """
 
 from __future__ import annotations
@@ -20,91 +22,97 @@
 
 US_PER_SECOND = 1_000_000
 NS_PER_US = 1000
-RATE_WINDOW_US = 2 * US_PER_SECOND  # span over which set-ups to warm switches are counted
-SMOOTHING_WEIGHT = 0.3  # of a new count in the smoothed rate
-BUDGET_SAFETY_FACTOR = 0.8  # share of a cold switch's budget that is used, as in the decision module
-HEADROOM = 2.0  # a warm switch takes at least twice what one router sends it
+RATE_WINDOW_US = 2 * US_PER_SECOND  # period over which the rate to warm switches is measured
+SMOOTHING_WEIGHT = 0.3  # of a new measurement in the smoothed rate
+BUDGET_SAFETY_FACTOR = 0.8  # part of a cold switch's budget that is used, as in the decision module
+HEADROOM = 2.0  # a warm switch can take at least twice what one router sends it
 
 
 @dataclass(slots=True)
 class ColdWindow:
-    """What went to one cold switch of late."""
+    """The recent set-ups to one cold switch."""
 
     cold_until: int
-    sent: deque[tuple[int, str]] = field(default_factory=deque)  # when, by which router
-    denied: dict[str, int] = field(default_factory=dict)  # when each router was last turned down in vain
+    sent: deque[tuple[int, str]] = field(default_factory=deque)  # time and router of each set-up
+    denied: dict[str, int] = field(default_factory=dict)  # router -> time of its last denied request
 
     def prune(self, now: int, span: int) -> None:
+        """Deletes the entries that are older than `span`."""
         while self.sent and now - self.sent[0][0] >= span:
             self.sent.popleft()
-        for name in [name for name, at in self.denied.items() if now - at >= span]:
+        for name in [name for name, denied_at in self.denied.items() if now - denied_at >= span]:
             del self.denied[name]
 
     def has_underserved_router(self, name: str) -> bool:
-        """Whether another router was turned down that had less of the window than this one."""
-        had = Counter(sender for _, sender in self.sent)
-        return any(had[other] < had[name] for other in self.denied if other != name)
+        """Whether another router was denied that sent fewer set-ups in the window than this one."""
+        sent_by = Counter(sender for _, sender in self.sent)
+        return any(sent_by[other] < sent_by[name] for other in self.denied if other != name)
 
 
 class ColdShare:
-    """One account for all routers of a process. Give the same one to each of them."""
+    """The common account of all routers of a process; pass the same instance to each of them."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.router_names: set[str] = set()  # names of the routers
-        self.windows: dict[str, ColdWindow] = {}
-        self.warm_rate = 0.0  # set-ups a second to one warm switch, by all together, smoothed
-        self.count, self.counted_since = 0, 0
-        self.credit, self.credit_updated_at = 0.0, 0
+        self.router_names: set[str] = set()
+        self.windows: dict[str, ColdWindow] = {}  # by exchange
+        self.warm_rate = 0.0  # set-ups per second to one warm switch by all routers together, smoothed
+        self.count, self.counted_since = 0, 0  # set-ups in the current measurement of the rate
+        self.credit, self.credit_updated_at = 0.0, 0  # set-ups that may be sent to cold switches now
 
     def join(self, name: str, settings: api.Settings) -> ColdShareMember:
-        """The side of one router; names tell the copies apart. Raises ValueError for one that is in use."""
+        """Adds a router under a name of its own. Raises ValueError if the name is in use."""
         with self.lock:
             if name in self.router_names:
-                raise ValueError(f"a router named {name!r} shares already")
+                raise ValueError(f"a router named {name!r} has already joined this ColdShare")
             self.router_names.add(name)
         return ColdShareMember(self, name, settings)
 
     def leave(self, name: str) -> None:
+        """Removes a router; the set-ups that it has sent still count."""
         with self.lock:
             self.router_names.discard(name)
             for window in self.windows.values():
-                window.denied.pop(name, None)  # what it sent still counts
+                window.denied.pop(name, None)
 
     def note(self, now: int, others: int) -> None:
-        """Counts one set-up that leaves, among `others` switches that take them."""
+        """Counts a set-up for the rate to warm switches.
+
+        `others` is the number of switches among which the router divides its set-ups.
+        """
         self.counted_since = self.counted_since or now
         self.count += 1
-        past = now - self.counted_since
-        if past >= RATE_WINDOW_US:
-            each = self.count * US_PER_SECOND / past / max(others, 1)
-            self.warm_rate += (each - self.warm_rate) * (SMOOTHING_WEIGHT if self.warm_rate else 1.0)
+        elapsed = now - self.counted_since
+        if elapsed >= RATE_WINDOW_US:
+            rate = self.count * US_PER_SECOND / elapsed / max(others, 1)
+            self.warm_rate += (rate - self.warm_rate) * (SMOOTHING_WEIGHT if self.warm_rate else 1.0)
             self.count, self.counted_since = 0, now
 
     def grant(self, now: int, name: str, settings: api.Settings, exchange: str, cold_until: int) -> bool:
-        """Whether this router may send one set-up to a cold switch now; if so, it counts as sent."""
+        """Whether this router may send a set-up to a cold switch now; if so, it is counted as sent."""
         for key in [key for key, window in self.windows.items() if now >= window.cold_until]:
             del self.windows[key]
-        if not self.windows:  # routers of other processes start at other parts of a set-up
+        if not self.windows:
+            # Each process starts at another fraction of a set-up, so that they don't round alike.
             self.credit = (settings.agent_index + 0.5) / max(settings.agents, 1) % 1.0
             self.credit_updated_at = now
         window = self.windows.setdefault(exchange, ColdWindow(cold_until))
         window.cold_until = cold_until
         span = max(settings.collapse_after_ns // NS_PER_US, 1)
         window.prune(now, span)
-        takes = (
+        rate_each = (  # set-ups per microsecond to one cold switch
             HEADROOM
             * self.warm_rate
-            * settings.cold_share
-            * settings.collapse_load
+            * settings.initial_capacity_fraction
+            * settings.collapse_multiple
             * BUDGET_SAFETY_FACTOR
             / US_PER_SECOND
         )
-        rate = takes * len(self.windows)
+        rate = rate_each * len(self.windows)
         self.credit = min(self.credit + rate * (now - self.credit_updated_at), max(rate * span, 1.0))
         self.credit_updated_at = max(now, self.credit_updated_at)
-        most = max(HEADROOM * takes * span, 1.0)
-        if self.credit < 1.0 + window.has_underserved_router(name) or len(window.sent) >= most:
+        max_in_window = max(HEADROOM * rate_each * span, 1.0)
+        if self.credit < 1.0 + window.has_underserved_router(name) or len(window.sent) >= max_in_window:
             window.denied[name] = now
             return False
         window.denied.pop(name, None)
@@ -114,7 +122,7 @@
 
 
 class ColdShareMember:
-    """One router's side of the account."""
+    """One router's access to the common account."""
 
     def __init__(self, share: ColdShare, name: str, settings: api.Settings) -> None:
         self.share = share
@@ -122,13 +130,16 @@
         self.settings = settings
 
     def try_acquire(self, now: int, entry: api.ListEntry, others: int) -> bool:
-        """Asked before each set-up; `others` counts the switches up besides the own. A yes counts as sent."""
-        started = entry.started_ns
-        cold = started is not None and now * NS_PER_US - started < self.settings.cold_ns
+        """Whether a set-up may be sent to the switch of `entry`; if so, it is counted as sent.
+
+        `others` is the number of listed switches without the router's own.
+        """
+        started_ns = entry.started_ns
+        is_cold = started_ns is not None and now * NS_PER_US - started_ns < self.settings.cold_ns
         with self.share.lock:
-            if cold and started is not None:
-                until = (started + self.settings.cold_ns) // NS_PER_US
-                if not self.share.grant(now, self.name, self.settings, entry.exchange, until):
+            if is_cold and started_ns is not None:
+                cold_until = (started_ns + self.settings.cold_ns) // NS_PER_US
+                if not self.share.grant(now, self.name, self.settings, entry.exchange, cold_until):
                     return False
             self.share.note(now, others)
             return True
