--- a/rowanmast/core/ledger.py
+++ b/rowanmast/core/ledger.py
@@ -1,7 +1,9 @@
-"""The call ledger: owes every call one final answer, and lets only one attempt of a call out at once.
+"""The call ledger: tracks every call from its offer to its end and enforces the call-handling rules.
 
-Each turn it takes the inputs gathered, tells the decision module in one go, and carries out what comes
-back. The rules are guarded here, whatever the module says and whatever wire a call uses.
+Every call gets exactly one final answer, and at most one attempt of a call is in flight at a time. In each
+turn of the event loop the ledger processes the inputs gathered since the last one, passes the resulting
+events to the decision module (`CallAgent`) as one batch and executes the actions it returns. The rules are
+enforced here, independently of what the module decides and of the protocol a call uses.
 """
 
 from __future__ import annotations
@@ -21,10 +23,10 @@
     NO_REPORT,
     Answered,
     Attempt,
-    AttemptEnded,
+    AttemptFailed,
     CallEnded,
     Cancelled,
-    Ending,
+    EndReason,
     EndUnanswered,
     Failure,
     Front,
@@ -38,15 +40,15 @@
 )
 from rowanmast.core.totals import Totals
 
-NS_PER_US = 1000  # nanoseconds in a microsecond: the module counts in them
+NS_PER_US = 1000  # the ledger counts microseconds, the decision module nanoseconds
 NULL_LINK = NullLink()
-STALE_TIMER_SLACK = 64  # entries of the timer heap that may be stale before it is cleared of them
-ENDED_CALL_RETENTION_US = 10_000_000  # a switch's release may cross ours, or come twice, within this time
-MAX_SEND_LAG_US = (
-    25_000  # a turn that took longer to let its bytes leave moves the waits that begin with them: the
-)
-# module's margin (50 ms) bears what is shorter
-SHUTDOWN_RETRY_AFTER_US = 1_000_000  # the retry-after of calls that are refused because the router ends
+STALE_TIMER_SLACK = 64  # timers that may be added to twice the number left by a purge before the next purge
+ENDED_CALL_RETENTION_US = 10_000_000  # a switch's release may cross the router's, or arrive twice, until then
+# If the output of a turn is flushed later than this, the waits that start with it are extended by the delay.
+# Shorter delays are covered by the release margin of the decision module (50 ms).
+MAX_SEND_LAG_US = 25_000
+SHUTDOWN_RETRY_AFTER_US = 1_000_000  # sent with calls that are refused because the router shuts down
+# The switch may still be working on the call: its release must be awaited before the next attempt.
 UNCONFIRMED_OUTCOMES = (api.Outcome.TIMED_OUT, api.Outcome.CUT, api.Outcome.CALLED_OFF)
 
 Item = TypeVar("Item")
@@ -57,13 +59,13 @@
 
 @dataclass(slots=True)
 class CallRecord:
-    """One call, from its offer until it is answered and, if it stood, over."""
+    """A call from its offer until its final answer or, if it was set up, until its end."""
 
     offer: Offer
     deadline: int
     current_attempt: Attempt | None = None
     attempt_count: int = 0
-    next_attempt_at: int = 0  # the release of the last attempt must be awaited
+    next_attempt_at: int = 0  # earliest time, while the release of the last attempt is awaited
     answered: bool = False
     standing_attempt: Attempt | None = None
     standing_since: int = 0
@@ -73,6 +75,8 @@
 
 
 class Ledger:
+    """The state of all calls of one router. It does no I/O; times are microseconds of the monotonic clock."""
+
     def __init__(
         self,
         settings: api.Settings,
@@ -86,25 +90,26 @@
         self.classes = classes
         self.agent = agent
         self.links = links
-        self.orphan_front = orphan_front  # hears the end of calls that an earlier run left standing
-        self.cold_share = cold_share  # of cold switches, where this process has further routers
-        self.records: dict[str, CallRecord] = {}
-        self.listed: dict[str, api.ListEntry] = {}
-        self.timers: list[tuple[int, int, Timer]] = []
-        self.timers_after_purge = 0  # that were left when it was last cleared of stale ones
+        self.orphan_front = orphan_front  # notified when a call that an earlier run left standing ends
+        self.cold_share = cold_share  # limits set-ups to cold switches where the process has several routers
+        self.records: dict[str, CallRecord] = {}  # by call id
+        self.listed: dict[str, api.ListEntry] = {}  # by exchange
+        self.timers: list[tuple[int, int, Timer]] = []  # heap of deadline, serial number and timer
+        self.timers_after_purge = 0  # size of the heap after the last purge
         self.timer_serial = 0
-        self.events: list[api.Event] = []  # for the module
-        self.expired_calls: list[CallRecord] = []  # calls past their deadline
-        self.ended_calls: list[str] = []  # calls to be forgotten when the turn ends
-        self.recently_ended: OrderedDict[str, int] = OrderedDict()  # calls that are over: since when
+        self.events: list[api.Event] = []  # not yet passed to the decision module
+        self.expired_calls: list[CallRecord] = []  # calls whose deadline passed in this turn
+        self.ended_calls: list[str] = []  # calls whose records are deleted at the end of the turn
+        self.recently_ended: OrderedDict[str, int] = OrderedDict()  # call id -> time of its end
         self.now = 0
-        self.awaiting_release: list[CallRecord] = []  # whose release is awaited from this turn on
+        self.awaiting_release: list[CallRecord] = []  # calls whose wait for a release starts in this turn
         self.totals = Totals()
-        self.turn_start_serial = 0  # of the first entry of the timer heap made in this turn
+        self.turn_start_serial = 0  # timers with a higher serial number were added in this turn
 
-    # The turn
+    # The turn of the event loop
 
-    def turn(self, now: int, inputs: Iterable[Input]) -> None:
+    def run_turn(self, now: int, inputs: Iterable[Input]) -> None:
+        """Processes all inputs, runs the timers that have expired and executes the module's decisions."""
         self.now = now
         self.awaiting_release.clear()
         self.turn_start_serial = self.timer_serial
@@ -128,7 +133,7 @@
             self.purge_stale_timers()
 
     def run_decisions(self) -> None:
-        """Hands the module what has happened, in one go, and carries out what it says."""
+        """Passes the pending events to the decision module in batches and executes its actions."""
         while self.events:
             batch, self.events = self.events, []
             actions: list[api.Action] = []
@@ -138,9 +143,9 @@
                 self.run_isolated(self.execute, action)
 
     def output_flushed(self, now: int) -> None:
-        """The bytes of the last turn have left by now: waits for a release count from when they did.
+        """The output of the last turn has been sent by now; waits for a release count from this time.
 
-        Where a host holds the interpreter, a turn may stop anywhere for hundreds of milliseconds.
+        A host application that holds the interpreter may delay a turn by hundreds of milliseconds.
         """
         lag = now - self.now
         if lag > MAX_SEND_LAG_US:
@@ -148,36 +153,42 @@
                 record.next_attempt_at += lag
             self.timers = [
                 (
-                    due + lag if at > self.turn_start_serial and isinstance(item, api.TimerExpired) else due,
-                    at,
-                    item,
+                    due + lag
+                    if serial > self.turn_start_serial and isinstance(timer, api.TimerExpired)
+                    else due,
+                    serial,
+                    timer,
                 )
-                for due, at, item in self.timers
+                for due, serial, timer in self.timers
             ]
             heapq.heapify(self.timers)
         self.awaiting_release.clear()
 
     def next_timer(self) -> int | None:
+        """When the next turn is needed at the latest, or None if no timer is pending."""
         return self.timers[0][0] if self.timers else None
 
     def unanswered_count(self) -> int:
-        """How many calls still wait for their final answer."""
+        """The number of calls without a final answer."""
         return sum(not record.answered for record in self.records.values())
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Asked again when the bytes leave: it may have been called off, or the switch drains by now."""
+        """Checks an attempt just before its bytes are written.
+
+        Since it was started it may have been cancelled, or its switch may have begun to drain.
+        """
         record = self.records.get(attempt.call)
         return record is not None and record.current_attempt is attempt and self.is_up(attempt.exchange)
 
     def release_nonsurviving(self) -> None:
-        """Ends the calls that can't stand without us, on both sides."""
+        """Ends the standing calls that can't outlive this process, towards the switch and the caller."""
         for record in list(self.records.values()):
             if record.standing_attempt is None:
                 continue
             link = self.link(record.standing_attempt.exchange)
             if not (link.survives_restart and record.offer.front.survives_restart):
                 link.release(record.offer.call, TEMPORARY_FAILURE)
-                self.cut_call(record, Ending.ROUTER_STOPPED)
+                self.cut_call(record, EndReason.ROUTER_STOPPED)
 
     def handle_input(self, item: Input) -> None:
         match item:
@@ -189,15 +200,15 @@
                 self.on_released(item)
             case Answered():
                 self.on_answered(item)
-            case AttemptEnded():
+            case AttemptFailed():
                 record = self.records.get(item.call)
-                out = record.current_attempt if record else None
-                if record and out and (out.exchange, out.number) == (item.exchange, item.attempt):
+                attempt = record.current_attempt if record else None
+                if record and attempt and (attempt.exchange, attempt.number) == (item.exchange, item.attempt):
                     self.end_attempt(record, item.outcome, item.cause, item.report)
             case CallEnded():
-                self.on_call_over(item)
+                self.on_call_ended(item)
             case SwitchDown():
-                self.cut_calls_at(item.exchange, Ending.SWITCH_DOWN)
+                self.cut_calls_at(item.exchange, EndReason.SWITCH_DOWN)
             case EndUnanswered():
                 self.end_unanswered()
             case api.ExchangeList():
@@ -209,18 +220,18 @@
         while self.timers and self.timers[0][0] <= self.now:
             self.run_isolated(self.on_timer, heapq.heappop(self.timers)[2])
 
-    def on_timer(self, due: Timer) -> None:
-        match due:
+    def on_timer(self, timer: Timer) -> None:
+        match timer:
             case api.TimerExpired():
-                self.events.append(due)
+                self.events.append(timer)
             case Attempt():
-                if self.is_timer_live(due):
-                    self.cancel_attempt(self.records[due.call], api.Outcome.TIMED_OUT)
+                if self.is_timer_live(timer):
+                    self.cancel_attempt(self.records[timer.call], api.Outcome.TIMED_OUT)
             case CallRecord():
-                self.expired_calls.append(due)
+                self.expired_calls.append(timer)
 
     def end_expired_call(self, record: CallRecord) -> None:
-        """The net under the module, which ends its calls itself, be it in this same turn."""
+        """Fails a call past its deadline if the module has not answered it by now, as it should have."""
         call = record.offer.call
         if self.records.get(call) is record and not record.answered:
             log.error("late_answer", extra={"call": call})
@@ -228,30 +239,30 @@
             self.finish_unanswered(record, Failure.GIVEN_UP)
 
     def purge_stale_timers(self) -> None:
-        """Drops what nobody waits for any more: a caller may name an hour and be refused at once."""
+        """Deletes timers that are no longer needed: a call with a deadline in an hour may end at once."""
         self.timers = [entry for entry in self.timers if self.is_timer_live(entry[2])]
         heapq.heapify(self.timers)
         self.timers_after_purge = len(self.timers)
 
-    def is_timer_live(self, due: Timer) -> bool:
-        match due:
+    def is_timer_live(self, timer: Timer) -> bool:
+        match timer:
             case Attempt():
-                record = self.records.get(due.call)
-                return record is not None and record.current_attempt is due
+                record = self.records.get(timer.call)
+                return record is not None and record.current_attempt is timer
             case CallRecord():
-                return not due.answered
+                return not timer.answered
             case _:
                 return True
 
     def link(self, exchange: str) -> SwitchLink:
         return self.links.get(exchange, NULL_LINK)
 
-    def schedule(self, due: int, item: Timer) -> None:
+    def schedule(self, due: int, timer: Timer) -> None:
         self.timer_serial += 1
-        heapq.heappush(self.timers, (due, self.timer_serial, item))
+        heapq.heappush(self.timers, (due, self.timer_serial, timer))
 
     def run_isolated(self, step: Callable[[Item], Result], item: Item) -> Result | None:
-        """Keeps an exception to the one call that it arose in: that one fails, and the rest goes on."""
+        """Runs one step; if it raises, only the call concerned fails and the turn continues."""
         try:
             return step(item)
         except Exception:
@@ -264,16 +275,16 @@
             return None
 
     def end_unanswered(self) -> None:
-        """Refuses every call that has no answer, or fails it if trying again could do harm."""
+        """Refuses every unanswered call, or fails it if the caller could do harm by trying again."""
         for record in list(self.records.values()):
             if record.answered:
                 continue
-            kind = self.settings.classes[self.classes[record.offer.klass]]
-            is_harmless = kind.idempotency is api.Idempotency.SAFE or record.attempt_count == 0
+            call_class = self.settings.classes[self.classes[record.offer.klass]]
+            may_retry = call_class.idempotency is api.Idempotency.SAFE or record.attempt_count == 0
             self.events.append(api.CallerHungUp(record.offer.call))
-            self.finish_unanswered(record, SHUTDOWN_RETRY_AFTER_US if is_harmless else Failure.GIVEN_UP)
+            self.finish_unanswered(record, SHUTDOWN_RETRY_AFTER_US if may_retry else Failure.GIVEN_UP)
 
-    # What fronts say
+    # Inputs from fronts
 
     def on_offer(self, offer: Offer) -> None:
         klass = self.classes.get(offer.klass)
@@ -304,11 +315,9 @@
         record = self.records.get(call)
         if record is None:
             return
-        if (
-            record.standing_attempt is not None
-        ):  # our answer crossed it, so the caller is told that the call is over
+        if record.standing_attempt is not None:  # the CANCEL crossed the answer: the caller gets a release
             self.link(record.standing_attempt.exchange).release(call, NORMAL_CLEARING)
-            ending = Ending.CALLER_CANCELLED
+            ending = EndReason.CALLER_CANCELLED
             self.end_call(record, api.Outcome.CALLED_OFF, NO_REPORT, NORMAL_CLEARING, ending)
         elif not record.answered:
             self.events.append(api.CallerHungUp(call))
@@ -318,49 +327,53 @@
         record = self.records.get(item.call)
         if record is not None and record.standing_attempt is not None:
             self.link(record.standing_attempt.exchange).release(item.call, item.cause)
-            self.end_call(record, api.Outcome.CALLED_OFF, NO_REPORT, None, Ending.CALLER_RELEASED)
+            self.end_call(record, api.Outcome.CALLED_OFF, NO_REPORT, None, EndReason.CALLER_RELEASED)
 
-    # What switches say
+    # Inputs from switches
 
     def on_answered(self, item: Answered) -> None:
         record = self.records.get(item.call)
-        out = record.current_attempt if record else None
-        if record is None or out is None or (out.exchange, out.number) != (item.exchange, item.attempt):
+        attempt = record.current_attempt if record else None
+        if (
+            record is None
+            or attempt is None
+            or (attempt.exchange, attempt.number) != (item.exchange, item.attempt)
+        ):
             standing = record.standing_attempt if record else None
-            if standing is None or standing.exchange != item.exchange:  # it crossed our giving up
+            if standing is None or standing.exchange != item.exchange:  # the answer crossed a cancellation
                 self.link(item.exchange).release(item.call, NORMAL_CLEARING)
             return
-        if self.now >= record.deadline:  # to the switch the call stands already, so it is released there
+        if self.now >= record.deadline:  # the call already stands at the switch and has to be released there
             self.link(item.exchange).release(item.call, NORMAL_CLEARING)
             self.end_attempt(record, api.Outcome.TIMED_OUT, None, NO_REPORT)
             return
-        record.current_attempt, record.standing_attempt, record.standing_since = None, out, self.now
-        delay = (self.now - out.sent_at) * NS_PER_US
-        self.events.append(api.CallAnswered(item.call, out.number, out.exchange, delay))
+        record.current_attempt, record.standing_attempt, record.standing_since = None, attempt, self.now
+        delay_ns = (self.now - attempt.sent_at) * NS_PER_US
+        self.events.append(api.CallAnswered(item.call, attempt.number, attempt.exchange, delay_ns))
         self.answer_call(record, item.text)
 
-    def on_call_over(self, item: CallEnded) -> None:
+    def on_call_ended(self, item: CallEnded) -> None:
         record = self.records.get(item.call)
         if record is None:
             self.release_orphan(item)
         elif record.standing_attempt is not None and record.standing_attempt.exchange == item.exchange:
-            if item.why is not Ending.SWITCH_RELEASED:
+            if item.why is not EndReason.SWITCH_RELEASED:
                 self.cut_call(record, item.why)
                 return
-            done = item.outcome is api.Outcome.DONE
-            cause = NORMAL_CLEARING if done else TEMPORARY_FAILURE
+            completed = item.outcome is api.Outcome.DONE
+            cause = NORMAL_CLEARING if completed else TEMPORARY_FAILURE
             self.end_call(record, item.outcome, item.report, cause, item.why)
 
     def release_orphan(self, item: CallEnded) -> None:
-        """A call that an earlier run left standing is over by its switch's word."""
+        """Notifies the caller of a call that an earlier run left standing: its switch has released it."""
         if (
             self.orphan_front is None
             or item.call in self.recently_ended
-            or item.why is not Ending.SWITCH_RELEASED
+            or item.why is not EndReason.SWITCH_RELEASED
         ):
             return
-        done = item.outcome is api.Outcome.DONE
-        self.orphan_front.release(item.call, NORMAL_CLEARING if done else TEMPORARY_FAILURE)
+        completed = item.outcome is api.Outcome.DONE
+        self.orphan_front.release(item.call, NORMAL_CLEARING if completed else TEMPORARY_FAILURE)
 
     def on_list(self, item: api.ExchangeList) -> None:
         self.events.append(item)
@@ -376,13 +389,13 @@
             self.cancel_attempts_at(exchange)
 
     def cancel_attempts_at(self, exchange: str) -> None:
-        """Calls off every set-up at a removed switch; its link tells of the calls that stand there."""
+        """Cancels all attempts at a removed switch. Calls that stand there end when its link reports so."""
         for record in list(self.records.values()):
             if record.current_attempt is not None and record.current_attempt.exchange == exchange:
                 self.cancel_attempt(record, api.Outcome.CUT)
 
-    def cut_calls_at(self, exchange: str, why: Ending) -> None:
-        """A switch's process is dead, and what stood or was being set up there with it."""
+    def cut_calls_at(self, exchange: str, why: EndReason) -> None:
+        """Ends all calls and attempts at a switch whose process is dead."""
         for record in list(self.records.values()):
             if record.standing_attempt is not None and record.standing_attempt.exchange == exchange:
                 self.cut_call(record, why)
@@ -393,10 +406,10 @@
         entry = self.listed.get(exchange)
         return entry is not None and entry.state is api.ExchangeState.UP
 
-    # The places where an attempt ends, a final answer is given, and a call that stood is over
+    # Ends of attempts, final answers and ends of standing calls
 
     def cancel_attempt(self, record: CallRecord, outcome: api.Outcome) -> None:
-        """Ends the attempt from our side: the switch is told, and then the module."""
+        """Ends the current attempt: cancels it at the switch and reports the outcome to the module."""
         assert record.current_attempt is not None
         self.link(record.current_attempt.exchange).cancel(record.offer.call)
         self.end_attempt(record, outcome, None, NO_REPORT)
@@ -404,12 +417,12 @@
     def end_attempt(
         self, record: CallRecord, outcome: api.Outcome, cause: api.Cause | None, report: api.LoadReport
     ) -> None:
-        out, record.current_attempt = record.current_attempt, None
-        assert out is not None
+        attempt, record.current_attempt = record.current_attempt, None
+        assert attempt is not None
         if outcome in UNCONFIRMED_OUTCOMES:
             record.next_attempt_at = self.now + self.settings.release_guard_ns // NS_PER_US
             self.awaiting_release.append(record)
-        self.report_attempt_ended(out, outcome, cause, report, record.answered)
+        self.report_attempt_ended(attempt, outcome, cause, report, record.answered)
 
     def report_attempt_ended(
         self,
@@ -435,7 +448,7 @@
         )
 
     def answer_call(self, record: CallRecord, answer: str | int | Failure) -> None:
-        """The one final answer: a description, a time to stay away, or why the call failed."""
+        """Gives the final answer, once: a description, a retry-after in microseconds, or a failure."""
         if record.answered:
             return
         record.answered = True
@@ -453,8 +466,8 @@
                 front.fail(call, answer)
         self.ended_calls.append(call)
 
-    def cut_call(self, record: CallRecord, why: Ending) -> None:
-        """Ends a call that stood, but not by the word of its caller or of its switch."""
+    def cut_call(self, record: CallRecord, why: EndReason) -> None:
+        """Ends a standing call that neither its caller nor its switch has released."""
         assert record.standing_attempt is not None
         stood_ms = (self.now - record.standing_since) // 1000
         details = {
@@ -470,18 +483,19 @@
         record: CallRecord,
         outcome: api.Outcome,
         report: api.LoadReport,
-        tell_caller: int | None,
-        why: Ending,
+        release_cause: int | None,
+        why: EndReason,
     ) -> None:
-        stood, record.standing_attempt = record.standing_attempt, None
-        assert stood is not None
+        """Ends a standing call; the caller gets a release unless `release_cause` is None."""
+        attempt, record.standing_attempt = record.standing_attempt, None
+        assert attempt is not None
         self.totals.add(f"ended_{why.value}")
         self.ended_calls.append(record.offer.call)
-        if tell_caller is not None:
-            record.offer.front.release(record.offer.call, tell_caller)
-        self.report_attempt_ended(stood, outcome, None, report, True)
+        if release_cause is not None:
+            record.offer.front.release(record.offer.call, release_cause)
+        self.report_attempt_ended(attempt, outcome, None, report, True)
 
-    # The module
+    # The decision module
 
     def decide(self, event: api.Event) -> list[api.Action]:
         return self.agent.handle(self.now * NS_PER_US, event)
@@ -512,10 +526,10 @@
             case api.LogMessage():
                 log.info("module_note", extra={"text": action.text})
             case api.Subscribe() | api.RequestList():
-                pass  # the change log is followed unasked
+                pass  # the router follows the change log anyway
 
     def finish_unanswered(self, record: CallRecord, answer: int | Failure) -> None:
-        """Answers a call that does not stand, and takes back what is still out for it."""
+        """Gives a call that does not stand its final answer and cancels its current attempt."""
         self.answer_call(record, answer)
         if record.current_attempt is not None:
             self.cancel_attempt(record, api.Outcome.CALLED_OFF)
@@ -525,7 +539,7 @@
         if record is None:
             return
         offer = record.offer
-        due = min(self.now + max(action.timeout_ns // NS_PER_US, 0), record.deadline)
+        deadline = min(self.now + max(action.timeout_ns // NS_PER_US, 0), record.deadline)
         attempt = Attempt(
             offer.call,
             record.attempt_count,
@@ -534,25 +548,25 @@
             offer.key,
             offer.text,
             self.now,
-            due,
+            deadline,
         )
         record.attempt_count += 1
-        broken = self.violated_rule(record, attempt)
-        if broken is not None:
-            if not record.answered:  # after a hang-up in the same turn it is no fault
-                log.warning("set_up_held_back", extra={"call": offer.call, "why": broken})
+        rule = self.violated_rule(record, attempt)
+        if rule is not None:
+            if not record.answered:  # expected if the caller hung up in the same turn
+                log.warning("set_up_held_back", extra={"call": offer.call, "why": rule})
             self.report_attempt_ended(attempt, api.Outcome.NOT_SENT, None, NO_REPORT, record.answered)
             return
-        if not self.within_cold_share(action.exchange):  # as with no circuit: another way may have room
+        if not self.within_cold_share(action.exchange):  # reported as "no circuit": another route may be free
             cause = api.Cause.NO_CIRCUIT
             self.report_attempt_ended(attempt, api.Outcome.NOT_SENT, cause, NO_REPORT, record.answered)
             return
         record.current_attempt = attempt
-        self.schedule(due, attempt)
+        self.schedule(deadline, attempt)
         self.link(action.exchange).set_up(attempt)
 
     def violated_rule(self, record: CallRecord, attempt: Attempt) -> str | None:
-        """The rule that this set-up would break."""
+        """The rule that forbids this attempt, by the name used in the log; None if it may start."""
         if record.answered:
             return "answered"
         if record.current_attempt is not None:
@@ -571,15 +585,15 @@
         return None
 
     def within_cold_share(self, exchange: str) -> bool:
-        """Whether the routers of this process together may send the switch one more set-up."""
+        """Whether the routers of this process may send the switch another set-up; if so, it is counted."""
         if self.cold_share is None:
             return True
         return self.cold_share.try_acquire(self.now, self.listed[exchange], len(self.listed) - 1)
 
 
 def with_release_margin(settings: api.Settings, margin_us: int) -> api.Settings:
-    """The settings for the module of a real router: it awaits a release a little longer than the rule says.
+    """The settings for the decision module, with a longer wait for a release than the ledger enforces.
 
-    The module counts from the start of the turn, the rule from when the last byte left.
+    The ledger's wait counts from when the last byte was sent, the module's from the start of the turn.
     """
     return replace(settings, release_guard_ns=settings.release_guard_ns + margin_us * NS_PER_US)
--- a/rowanmast/core/ports.py
+++ b/rowanmast/core/ports.py
@@ -1,4 +1,7 @@
-"""What the ledger exchanges with fronts and switch links, in words of no wire. Times are microseconds."""
+"""The interfaces between the ledger and its fronts and switch links, independent of any wire protocol.
+
+Times are microseconds of the monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -13,30 +16,35 @@
 
 
 class Failure(Enum):
-    """Why a call failed rather than being turned away."""
+    """Why a call failed rather than being refused with a retry-after."""
 
-    GIVEN_UP = "given up"
-    CANCELLED = "cancelled"  # the caller took the set-up back
-    FAULT = "fault"  # an exception of our own in this call
-    UNFIT = "unfit"  # its class is unknown, or its id that of a call that is there already
+    GIVEN_UP = "given up"  # not set up in time, and a retry by the caller could do harm
+    CANCELLED = "cancelled"  # the caller cancelled the set-up
+    FAULT = "fault"  # the router raised an exception while it handled this call
+    UNFIT = "unfit"  # the call's class is unknown, or its id is in use
 
 
-class Ending(Enum):
-    """Why a call that stood is over; the value goes into the log."""
+class EndReason(Enum):
+    """Why a standing call ended; the value is written to the log."""
 
     SWITCH_RELEASED = "switch_released"
     CALLER_RELEASED = "caller_released"
-    CALLER_CANCELLED = "caller_cancelled"  # its CANCEL crossed our answer
+    CALLER_CANCELLED = "caller_cancelled"  # the caller's CANCEL crossed the answer
     SWITCH_DOWN = "switch_down"  # a refused connection proves that the switch's process is dead
-    SWITCH_LOST = "switch_lost"  # nothing was heard of its process for the length of a lease
+    SWITCH_LOST = "switch_lost"  # nothing was received from the switch's process until the lease expired
     SWITCH_REMOVED = "switch_removed"  # discovery no longer lists the switch, and its connections are lost
     ROUTER_STOPPED = "router_stopped"
 
 
 class Front(Protocol):
-    """Where calls come from."""
+    """A front end that accepts calls over one protocol.
+
+    Each call gets one final answer: `answer` with the switch's description, `refuse` with the time after
+    which the caller may try again, or `fail`. `release` ends a standing call towards its caller; causes are
+    those of Q.850.
+    """
 
-    survives_restart: bool  # calls stand on when the router ends, and its next run may release them
+    survives_restart: bool  # standing calls outlive the router's process, and its next run can release them
 
     def answer(self, call: str, text: str) -> None: ...
 
@@ -49,24 +57,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """A set-up on its way to one switch."""
+    """One attempt to set up a call at a switch."""
 
     call: str
-    number: int
+    number: int  # counts the attempts of a call, from 0
     exchange: str
     klass: str
-    key: str
+    key: str  # the number called
     text: str
     sent_at: int
     deadline: int
 
 
 class SwitchLink(Protocol):
-    """The way to one switch. `cancel` takes back a set-up, `release` ends a call that stands."""
+    """The connection to one switch, over any protocol.
+
+    `set_up` starts an attempt, whose result is posted to the inbox unless `cancel` ends it before. `release`
+    ends a standing call at the switch. `probe` measures the switch's response time, which is posted as well.
+    """
 
     @property
     def survives_restart(self) -> bool:
-        """As with a front; not while the switch is silent, as the next run would not hear of it either."""
+        """Whether standing calls outlive the router's process.
+
+        False also while the switch is silent, as the next run would not hear from it either.
+        """
 
     def set_up(self, attempt: Attempt) -> None: ...
 
@@ -78,12 +93,12 @@
 
 
 class NullLink:
-    """In place of the link to a switch that is gone: there is nothing to tell there any more."""
+    """Stands in for the link to a switch that no longer exists; releases and cancellations are dropped."""
 
     survives_restart = False
 
     def set_up(self, attempt: Attempt) -> None:
-        raise LookupError(f"{attempt.exchange} is gone")
+        raise LookupError(f"there is no link to {attempt.exchange}")
 
     def cancel(self, call: str) -> None:
         pass
@@ -99,26 +114,26 @@
 
 
 class SendGate(Protocol):
-    """Asked when a set-up's bytes are about to leave: the ledger."""
+    """The ledger's check of an attempt, which links make just before they write it."""
 
     def may_send(self, attempt: Attempt) -> bool: ...
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where a set-up is to go, and what is said of how it came."""
+    """The routing data of a call, as in the X-Route header."""
 
-    dest: int
+    dest: int  # number of the destination exchange
     width: int | None
-    via: int | None
+    via: int | None  # advised tandem or pool; in transit, where the call comes from
     redialled: bool
     transit: bool
-    again: bool
+    again: bool  # the call was cut and is set up once more
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A set-up that a front has taken and that now is owed a final answer."""
+    """A new call that a front has accepted and that needs a final answer."""
 
     front: Front
     call: str
@@ -131,14 +146,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """The caller took its set-up back, or the connection that owned it is lost."""
+    """The caller cancelled its set-up, or the connection of the set-up was lost."""
 
     call: str
 
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """The caller ended a call that stood."""
+    """The caller released a standing call."""
 
     call: str
     cause: int
@@ -146,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """A switch says that the call stands; -1 for an attempt that its link no longer knows."""
+    """A switch answered a set-up; `attempt` is -1 if the link no longer knows the attempt."""
 
     exchange: str
     call: str
@@ -155,8 +170,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptEnded:
-    """A set-up ended without an answer."""
+class AttemptFailed:
+    """An attempt ended before the switch answered it; `outcome` tells how."""
 
     exchange: str
     call: str
@@ -168,25 +183,25 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    """A call that stood is over: DONE, or CUT. By the switch's word, or as its link can't believe in it."""
+    """A standing call ended, with outcome DONE or CUT: released by the switch, or given up by its link."""
 
     exchange: str
     call: str
     outcome: api.Outcome
     report: api.LoadReport = NO_REPORT
-    why: Ending = Ending.SWITCH_RELEASED
+    why: EndReason = EndReason.SWITCH_RELEASED
 
 
 @dataclass(frozen=True, slots=True)
 class SwitchDown:
-    """The switch's process is proven dead: what stood there is cut."""
+    """The switch's process is known to be dead; its calls are cut."""
 
     exchange: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndUnanswered:
-    """The router is about to end: every call without an answer is answered now."""
+    """The router is about to stop: every unanswered call gets its final answer now."""
 
 
 Input = (
@@ -194,7 +209,7 @@
     | Cancelled
     | Released
     | Answered
-    | AttemptEnded
+    | AttemptFailed
     | CallEnded
     | SwitchDown
     | EndUnanswered
@@ -204,6 +219,6 @@
 
 
 class Inbox(Protocol):
-    """Takes what callbacks gather, for the next turn."""
+    """Queues inputs for the ledger's next turn."""
 
     def post(self, item: Input) -> None: ...
--- a/rowanmast/core/totals.py
+++ b/rowanmast/core/totals.py
@@ -1,4 +1,4 @@
-"""Counts of what became of calls and attempts, for the log: monitoring without a line for each call."""
+"""Counts the results of calls and attempts for the log, so that monitoring needs no line for each call."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class Totals:
-    """Running totals since the start, by name; a name is made of words joined by underscores."""
+    """Totals since the start of the process, by name; the names are log keys in snake case."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.last_reported: Counter[str] = Counter()  # as they were when `changes` was last asked
+        self.last_reported: Counter[str] = Counter()  # as of the last `changed_totals`
 
     def add(self, name: str) -> None:
         self.counts[name] += 1
 
     def changed_totals(self) -> dict[str, int]:
-        """The totals, or nothing if they are as they were at the last report."""
+        """All totals, or an empty dict if none has changed since the last call."""
         if self.counts == self.last_reported:
             return {}
         self.last_reported = self.counts.copy()
--- a/rowanmast/embed/__init__.py
+++ b/rowanmast/embed/__init__.py
@@ -1,10 +1,10 @@
-"""The call router as a library: place calls from a host application and get their one final outcome.
+"""The call router as a library: a host application places calls and gets one final outcome for each.
 
     with EmbeddedRouter.from_files("config.json") as router:
         with router.call_blocking(CallRequest("7f3a9c21", 2, "item-lookup", wait_s=1.5)) as call:
             print(call.text)
 
-docs/embedding.md has the whole API.
+docs/embedding.md describes its use.
 """
 
 from rowanmast.config import ConfigError
--- a/rowanmast/embed/admission.py
+++ b/rowanmast/embed/admission.py
@@ -1,8 +1,8 @@
-"""What the embedded router decides about its host, without clock, threads or sockets.
+"""Admission control of an embedded router towards its host. Has no clock, threads or sockets.
 
-A host may flood us, may forget outcomes, and may die in the middle of calls. Here it is decided which calls
-are taken at all and which outcomes have waited too long; routing and load are the decision module's. Times
-are microseconds of the monotonic clock.
+A host may submit too many calls, never collect outcomes, or die with calls in progress. This module decides
+which calls are admitted and which outcomes have expired uncollected; routing and load control belong to the
+decision module. Times are microseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -11,28 +11,33 @@
 from dataclasses import dataclass
 from enum import Enum
 
-REFUSAL_RETRY_AFTER_US = 1_000_000  # stated to a call that finds no room
+REFUSAL_RETRY_AFTER_US = 1_000_000  # given to calls that are refused at the host's bounds
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a host may hold at once."""
+    """Limits on the calls of one host at any time.
 
-    max_open: int = 1000  # calls that have no final answer yet
-    max_standing: int = 10_000  # calls that stand
-    collect_us: int = 5_000_000  # for which an outcome waits for its host to take it
+    `max_open` limits the calls without a final answer, `max_standing` the standing calls; a call beyond
+    either is refused. A standing call whose outcome is not collected within `collect_us` microseconds is
+    released.
+    """
+
+    max_open: int = 1000
+    max_standing: int = 10_000
+    collect_us: int = 5_000_000
 
 
 class CallState(Enum):
-    """Where a call of the host is."""
+    """The state of a call placed by the host."""
 
-    OPEN = "open"  # its final answer is still owed
-    UNCOLLECTED = "uncollected"  # it stands, but the host has not taken the outcome yet
-    COLLECTED = "collected"  # it stands, and the host knows
+    OPEN = "open"  # has no final answer yet
+    UNCOLLECTED = "uncollected"  # stands; the host has not collected the outcome yet
+    COLLECTED = "collected"  # stands, and the host has collected the outcome
 
 
 class AdmissionResult(Enum):
-    """Whether a call is taken."""
+    """Whether a new call is admitted."""
 
     ADMITTED = "admitted"
     AT_LIMIT = "at limit"
@@ -40,15 +45,13 @@
 
 
 class AdmissionControl:
-    """The account of one host's calls."""
+    """Tracks the calls of one host and admits new ones within its bounds."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
         self.states: dict[str, CallState] = {}
         self.open_count = 0
-        self.uncollected_since: OrderedDict[str, int] = (
-            OrderedDict()
-        )  # when each uncollected outcome was given
+        self.uncollected_since: OrderedDict[str, int] = OrderedDict()  # oldest first
         self.closing = False
 
     @property
@@ -56,7 +59,7 @@
         return len(self.states) - self.open_count
 
     def admit(self, call: str) -> AdmissionResult:
-        """Takes a new call, or says why not. A refusal costs no memory."""
+        """Records a new call if it is admitted. Nothing is stored for a refused one."""
         if self.closing:
             return AdmissionResult.CLOSING
         if self.open_count >= self.bounds.max_open or self.standing_count >= self.bounds.max_standing:
@@ -66,7 +69,7 @@
         return AdmissionResult.ADMITTED
 
     def mark_standing(self, call: str, now: int) -> bool:
-        """The call stands from now on; False if the host has given it up, so that it must be released."""
+        """Records that an open call stands; False if it is not open, so that it must be released."""
         if self.states.get(call) is not CallState.OPEN:
             return False
         self.open_count -= 1
@@ -75,7 +78,7 @@
         return True
 
     def mark_collected(self, call: str) -> bool:
-        """The host has taken the outcome; False if the call is over by now."""
+        """Records that the host has the outcome; False if the call has ended or was collected before."""
         if self.states.get(call) is not CallState.UNCOLLECTED:
             return False
         self.states[call] = CallState.COLLECTED
@@ -83,24 +86,24 @@
         return True
 
     def remove(self, call: str) -> CallState | None:
-        """The call has ended, whoever ended it: the stage in which it did, or None if that is known."""
-        stage = self.states.pop(call, None)
-        if stage is CallState.OPEN:
+        """Removes an ended call and returns its last state, or None if it was removed before."""
+        state = self.states.pop(call, None)
+        if state is CallState.OPEN:
             self.open_count -= 1
         self.uncollected_since.pop(call, None)
-        return stage
+        return state
 
     def clear(self) -> None:
-        """Forgets every call: the router has ended."""
+        """Removes every call, when the router has ended."""
         self.states.clear()
         self.uncollected_since.clear()
         self.open_count = 0
 
     def expired_outcomes(self, now: int) -> list[str]:
-        """The calls whose outcome has waited too long, oldest first; the caller ends them."""
-        late: list[str] = []
+        """The calls whose outcome was not collected in time, oldest first. The caller must end them."""
+        expired: list[str] = []
         for call, since in self.uncollected_since.items():
             if now - since < self.bounds.collect_us:
                 break
-            late.append(call)
-        return late
+            expired.append(call)
+        return expired
--- a/rowanmast/embed/calls.py
+++ b/rowanmast/embed/calls.py
@@ -1,6 +1,7 @@
-"""A host's side of one call: the ticket that waits for its outcome, and the call once it stands.
+"""The host's handles for one call: the ticket until its outcome, and the standing call after it.
 
-Both may be used from any thread and any loop. The router's thread resolves them; it never waits for a host.
+Both may be used from any thread and any event loop. The router's thread resolves them and never waits for
+the host.
 """
 
 from __future__ import annotations
@@ -18,65 +19,65 @@
 
 
 class CallControl(Protocol):
-    """What a host's side of a call says to the router; every word may come from any thread."""
+    """Commands that a call's handles send to the router. May be called from any thread."""
 
     def outcome_collected(self, call: str) -> None:
-        """The host has taken the outcome."""
+        """The host has received the outcome."""
 
     def end_call(self, call: str, cause: int) -> None:
-        """The host takes the call back, or releases it if it stands."""
+        """Cancels the call, or releases it with `cause` if it stands."""
 
     def reference_lost(self, call: str) -> None:
-        """The host has lost its last reference to a call that stands."""
+        """The host no longer references a standing call, which is to be released."""
 
 
 class SharedFuture(Generic[Value]):
-    """A value that comes once, for waiting threads and loops alike."""
+    """A value that is set once and can be awaited by threads and by event loops."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.value: Value | None = None
-        self.event: threading.Event | None = None  # made only if a thread waits
+        self.event: threading.Event | None = None  # created when the first thread waits
         self.waiters: list[tuple[asyncio.AbstractEventLoop, asyncio.Future[Value]]] = []
 
     def set_result(self, value: Value) -> bool:
-        """Wakes all that wait. False if a loop that waits is closed, so that nobody hears it there."""
+        """Wakes all waiters. False if a waiting event loop is closed and so can't receive the value."""
         with self.lock:
             if self.value is not None:
                 return True
             self.value = value
-            door, waiters = self.event, self.waiters
+            event, waiters = self.event, self.waiters
             self.waiters = []
-        if door is not None:
-            door.set()
-        heard = True
+        if event is not None:
+            event.set()
+        delivered = True
         for loop, future in waiters:
             try:
                 loop.call_soon_threadsafe(set_if_pending, future, value)
-            except RuntimeError:  # the loop was closed under us
-                heard = False
-        return heard
+            except RuntimeError:  # the loop has been closed
+                delivered = False
+        return delivered
 
     def set_after_fork(self, value: Value) -> None:
-        """The same in a forked child, where only the thread that forked is left."""
+        """Sets the value in a forked child, where only the forking thread exists."""
         self.lock = threading.Lock()
         self.waiters = []
         if self.value is None:
             self.value = value
 
     def wait(self, timeout_s: float | None) -> Value | None:
-        """Blocks the thread; None if nothing came within the time."""
+        """Blocks the thread until the value is set; None after `timeout_s` seconds."""
         with self.lock:
             if self.value is not None:
                 return self.value
             if self.event is None:
                 self.event = threading.Event()
-            door = self.event
-        door.wait(timeout_s)
+            event = self.event
+        event.wait(timeout_s)
         return self.value
 
     async def wait_async(self) -> Value:
-        """Waits on the running loop."""
+        """Waits on the running event loop."""
         loop = asyncio.get_running_loop()
         with self.lock:
             if self.value is not None:
@@ -86,7 +87,7 @@
         try:
             return await future
         finally:
-            with self.lock:  # one that waits no more is forgotten
+            with self.lock:  # a cancelled waiter is removed too
                 self.waiters = [waiter for waiter in self.waiters if waiter[1] is not future]
 
 
@@ -96,7 +97,7 @@
 
 
 class Ticket:
-    """A call that was taken, until its one final outcome."""
+    """A submitted call, from which its one final outcome is collected."""
 
     def __init__(self, control: CallControl, call: str) -> None:
         self.control = control
@@ -104,32 +105,35 @@
         self.future: SharedFuture[Outcome] = SharedFuture()
 
     def result(self, timeout_s: float | None = None) -> Outcome:
-        """Blocks until the outcome is there. Raises TimeoutError after `timeout_s`; the call goes on then."""
+        """Blocks until the call has its outcome.
+
+        Raises TimeoutError after `timeout_s` seconds; the call goes on, and `result` may be called again.
+        """
         outcome = self.future.wait(timeout_s)
         if outcome is None:
-            raise TimeoutError(f"no outcome within {timeout_s} s")
+            raise TimeoutError(f"call {self.call}: no outcome within {timeout_s} s")
         self.control.outcome_collected(self.call)
         return outcome
 
     async def outcome(self) -> Outcome:
-        """The outcome; cancelling the task takes the call back, or releases it if it stands by then."""
+        """Waits for the outcome. Cancelling the task cancels the call, or releases it if it stands."""
         try:
             outcome = await self.future.wait_async()
-        except BaseException:  # cancelled, or the task is destroyed with its loop
+        except BaseException:  # cancelled, or destroyed together with its event loop
             self.cancel()
             raise
         self.control.outcome_collected(self.call)
         return outcome
 
     def cancel(self) -> None:
-        """Takes the call back. It still gets its outcome, which nobody needs to collect."""
+        """Cancels the call, or releases it if it stands. Its outcome need not be collected."""
         self.control.end_call(self.call, NORMAL_CLEARING)
 
 
 class StandingCall:
-    """A call that stands. Releasing it is the host's duty; `with` and `async with` do so at their end.
+    """A call that stands. The host must release it; `with` and `async with` do so on exit.
 
-    If the last reference to it is lost while it stands, it is released and a warning is logged.
+    If it is garbage-collected while it stands, it is released and `call_dropped` is logged as a warning.
     """
 
     def __init__(
@@ -137,30 +141,33 @@
     ) -> None:
         self.control = control
         self.id = call
-        self.text = text  # the description that the switch gave
+        self.text = text  # the description given by the switch
         self.ending_future = ending_future
         self.finalizer = weakref.finalize(self, control.reference_lost, call)
-        self.finalizer.atexit = False  # the router's own end at exit releases all that stand
+        self.finalizer.atexit = False  # the router's close at exit releases all standing calls
 
     @property
     def ending(self) -> Ending | None:
-        """How the call is over, or None while it stands."""
+        """How the call ended, or None while it stands."""
         return self.ending_future.value
 
     def release(self, cause: int = NORMAL_CLEARING) -> None:
-        """Ends the call, with a cause of Q.850; does nothing if it is over. Never blocks."""
+        """Ends the call with a Q.850 cause code. Does nothing if it has ended. Does not block."""
         if self.finalizer.detach() is not None:
             self.control.end_call(self.id, cause)
 
     def wait(self, timeout_s: float | None = None) -> Ending:
-        """Blocks until the call is over. Raises TimeoutError after `timeout_s`; it stands on then."""
+        """Blocks until the call has ended.
+
+        Raises TimeoutError after `timeout_s` seconds; the call goes on, and `wait` may be called again.
+        """
         ending = self.ending_future.wait(timeout_s)
         if ending is None:
-            raise TimeoutError(f"the call still stands after {timeout_s} s")
+            raise TimeoutError(f"call {self.id} still stands after {timeout_s} s")
         return ending
 
     async def over(self) -> Ending:
-        """Waits until the call is over, whoever ends it."""
+        """Waits until the call has ended, whoever ends it."""
         return await self.ending_future.wait_async()
 
     def __enter__(self) -> StandingCall:
--- a/rowanmast/embed/outcomes.py
+++ b/rowanmast/embed/outcomes.py
@@ -1,4 +1,4 @@
-"""The words of the library: what a host asks for, and how it can end. Public, without threads or sockets."""
+"""The public request, outcome and error types of the library. Has no threads or sockets."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 if TYPE_CHECKING:
     from rowanmast.embed.calls import StandingCall
 
-MAX_WAIT_S = 3600.0  # nobody waits longer
-MAX_NUMBER_CHARS = 4096  # characters of the number called
-MAX_TEXT_BYTES = 12 * 1024  # bytes of the description: with the rest it must fit into a message of 16 KiB
-MAX_ROUTE_NUMBER = 999_999_999  # route figures have nine digits on every wire
+MAX_WAIT_S = 3600.0
+MAX_NUMBER_CHARS = 4096
+MAX_TEXT_BYTES = 12 * 1024  # leaves room for the rest of a message of at most 16 KiB
+MAX_ROUTE_NUMBER = 999_999_999  # numbers in a route have at most nine digits in every protocol
 
 
 class RowanmastError(Exception):
-    """The root of all errors of the library."""
+    """The base class of all errors of the library."""
 
 
 class RequestError(RowanmastError, ValueError):
-    """A request that can't be a call; the text names the field. Nothing was taken."""
+    """A request is invalid, so no call was placed. The message names the field."""
 
 
 class RouterClosed(RowanmastError, RuntimeError):
-    """The router is not open: not yet, not any more, or not in this process (after a fork)."""
+    """The router is not open: not yet, no longer, or not in this process (after a fork)."""
 
 
 class CallRefused(RowanmastError):
-    """The call was turned away; it may come back after `retry_after_s` seconds."""
+    """The call was refused; it may be retried after `retry_after_s` seconds."""
 
     def __init__(self, retry_after_s: float) -> None:
-        super().__init__(f"refused, come back after {retry_after_s:.3f} s")
+        super().__init__(f"call refused, retry after {retry_after_s:.3f} s")
         self.retry_after_s = retry_after_s
 
 
 class CallFailed(RowanmastError):
-    """The call failed: `why` says how."""
+    """The call failed, for the reason `why`."""
 
     def __init__(self, why: Failure) -> None:
         super().__init__(why.value)
@@ -48,39 +48,51 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """A call that a host wants to place. Raises RequestError for what can't be one."""
-
-    number: str  # the number called
-    dest: int  # the number of the centre that holds the record
-    klass: str  # class of call, named as in the settings
-    wait_s: float  # how long the host waits for the final answer, in seconds
-    text: str = ""  # the description that goes to the switch
-    width: int | None = None  # circuits; None: as the class has it
-    advised: int | None = None  # a switch advised to go through
-    redialled: bool = False  # the host has tried this call before
-    again: bool = False  # the call was cut and comes again
-    transit: bool = False  # it comes from another switch, `advised`, and may only go to its destination
+    """A call to be placed. Raises RequestError if a field is invalid.
+
+    - `number`: the called number, 1 to 4096 characters and at most 12 KiB of UTF-8.
+    - `dest`: the number of the destination switch, that of the centre that holds the record; 0 to 999999999.
+    - `klass`: the class of call, by its name in the settings.
+    - `wait_s`: how long the host waits for the final answer, in seconds, up to 3600.
+    - `text`: the description passed to the switch, at most 12 KiB of UTF-8.
+    - `width`: circuits that the call takes; None for the default of its class.
+    - `advised`: the number of a switch advised as a tandem.
+    - `redialled`: the host has attempted this call before.
+    - `again`: the call was cut and is placed again.
+    - `transit`: the call comes from another switch, `advised`, and may be sent only to its destination.
+    """
+
+    number: str
+    dest: int
+    klass: str
+    wait_s: float
+    text: str = ""
+    width: int | None = None
+    advised: int | None = None
+    redialled: bool = False
+    again: bool = False
+    transit: bool = False
 
     def __post_init__(self) -> None:
         if not (isinstance(self.number, str) and 0 < len(self.number) <= MAX_NUMBER_CHARS):
-            raise RequestError(f"number: give 1 to {MAX_NUMBER_CHARS} characters")
+            raise RequestError(f"number: must have 1 to {MAX_NUMBER_CHARS} characters")
         if not isinstance(self.klass, str) or not self.klass:
-            raise RequestError("klass: give the name of a class of call")
+            raise RequestError("klass: must be the name of a class of call")
         if not is_route_number(self.dest, 0):
-            raise RequestError(f"dest: {self.dest!r} is no switch's number")
+            raise RequestError(f"dest: {self.dest!r} is not a switch number")
         if not (isinstance(self.wait_s, int | float) and 0 < self.wait_s <= MAX_WAIT_S):
-            raise RequestError(f"wait_s: {self.wait_s!r} does not lie between 0 and {MAX_WAIT_S:.0f} seconds")
+            raise RequestError(f"wait_s: {self.wait_s!r} is not between 0 and {MAX_WAIT_S:.0f} seconds")
         if self.width is not None and not is_route_number(self.width, 1):
-            raise RequestError(f"width: {self.width!r} is no number of circuits")
+            raise RequestError(f"width: {self.width!r} is not a number of circuits")
         if self.advised is not None and not is_route_number(self.advised, 0):
-            raise RequestError(f"advised: {self.advised!r} is no switch's number")
+            raise RequestError(f"advised: {self.advised!r} is not a switch number")
         for field in ("number", "klass", "text"):
             try:
                 length = len(getattr(self, field).encode())
             except (UnicodeEncodeError, AttributeError):
-                raise RequestError(f"{field}: not text that UTF-8 can carry") from None
+                raise RequestError(f"{field}: not text that can be encoded as UTF-8") from None
             if length > MAX_TEXT_BYTES:
-                raise RequestError(f"{field}: {length} bytes are over {MAX_TEXT_BYTES}")
+                raise RequestError(f"{field}: {length} bytes, the limit is {MAX_TEXT_BYTES}")
 
 
 def is_route_number(value: object, minimum: int) -> bool:
@@ -89,26 +101,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Stands:
-    """The call stands, until the host or the switch releases it."""
+    """The outcome of a call that stands; `call` is its handle, by which the host releases it."""
 
     call: StandingCall
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Turned away: trying again after `retry_after_s` seconds is harmless."""
+    """The outcome of a refused call. It may safely be retried after `retry_after_s` seconds."""
 
     retry_after_s: float
 
     @property
     def retry_after(self) -> int:
-        """The same in whole seconds, 1 at least, as `Retry-After` wants it (RFC 9110, 10.2.3)."""
+        """`retry_after_s` rounded up to whole seconds, at least 1, for `Retry-After` (RFC 9110, 10.2.3)."""
         return max(math.ceil(self.retry_after_s), 1)
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Not set up, and not by a shortage: no answer in time, taken back, or a fault."""
+    """The outcome of a call that was neither set up nor refused.
+
+    `why` is the reason: no answer in time, cancelled, a fault of the router, or an invalid call.
+    """
 
     why: Failure
 
@@ -117,16 +132,20 @@
 
 
 class EndedBy(Enum):
-    """Who ended a call that stood."""
+    """Who ended a standing call.
+
+    HOST: the host released it, did not collect its outcome, or lost its last reference to it. SWITCH: the
+    switch released it. CUT: the switch or the connection to it failed, or the router was closed.
+    """
 
-    HOST = "host"  # released by the host, or never collected by it
-    SWITCH = "switch"  # came to its end there
-    CUT = "cut"  # the switch or the way to it broke, or the router closed
+    HOST = "host"
+    SWITCH = "switch"
+    CUT = "cut"
 
 
 @dataclass(frozen=True, slots=True)
 class Ending:
-    """How a call that stood is over; `cause` is that of Q.850."""
+    """How a standing call ended: by whom, and with which Q.850 cause code."""
 
     by: EndedBy
     cause: int
--- a/rowanmast/embed/router.py
+++ b/rowanmast/embed/router.py
@@ -1,8 +1,8 @@
-"""A whole router inside a host's process, on a thread and a loop of its own.
+"""A complete call router inside a host process, on its own thread and event loop.
 
-A host's loop or threads may block as long as they like: deadlines, releases, drains and answers go on here.
-Words from the host are gathered under one lock and handed to the router's loop in one go; outcomes go back
-through latches that the router's thread sets and never waits for.
+Deadlines, releases, drains and answers keep running while the host's event loop or threads block.
+Commands from the host are queued under one lock and processed by the router's loop in batches. Outcomes are
+returned through futures that the router's thread sets without waiting for the host.
 """
 
 from __future__ import annotations
@@ -53,46 +53,44 @@
 from rowanmast.net.input_queue import now_us
 from rowanmast.net.logs import EMBEDDED_THREAD_PREFIX
 
-UNCOLLECTED_CHECK_INTERVAL_S = 0.1  # gaps at which outcomes that nobody collects are looked for
-DEFAULT_DRAIN_S = 10.0  # for which a close waits, if not told otherwise, for calls that stand
+UNCOLLECTED_CHECK_INTERVAL_S = 0.1
+DEFAULT_DRAIN_S = 10.0  # how long close() waits for standing calls
 READY_POLL_INTERVAL_S = 0.01
-EXIT_DRAIN_S = 0.0  # at interpreter exit what stands is released at once
-JOIN_TIMEOUT_S = 5.0  # beyond the drain, for the last bytes and the thread's own end
+EXIT_DRAIN_S = 0.0  # at interpreter exit standing calls are released at once
+JOIN_TIMEOUT_S = 5.0  # after the drain, for the last bytes to be sent and the thread to end
 
 log = logging.getLogger(__name__)
 
 
 class HostCall:
-    """What the router's side keeps of one call of the host."""
+    """The router's record of one call placed by the host."""
 
     __slots__ = ("deadline_us", "ending_future", "host_cause", "request", "ticket")
 
     def __init__(self, ticket: Ticket, request: CallRequest, deadline_us: int) -> None:
-        self.ticket: Ticket | None = ticket  # until the host has the outcome, so that it can lose the call
+        self.ticket: Ticket | None = ticket  # None once collected, as it keeps the StandingCall alive
         self.request: CallRequest | None = request
         self.deadline_us = deadline_us
         self.ending_future: SharedFuture[Ending] = SharedFuture()
-        self.host_cause: int | None = None  # with which the host has ended it
+        self.host_cause: int | None = None  # cause with which the host ended the call
 
 
 class EmbeddedFront:
-    """The host as a front of the router: adapts it to the core's port `Front`. On the router's thread."""
+    """Implements the core's `Front` for calls that the host places. Runs on the router's thread."""
 
-    survives_restart = (
-        False  # the calls end with the host's process, so they are released when the router closes
-    )
+    survives_restart = False  # the calls end with the host process, so closing the router releases them
 
     def __init__(self, bridge: HostBridge) -> None:
         self.bridge = bridge
 
     def answer(self, call: str, text: str) -> None:
-        held = self.bridge.mark_standing(call)
-        if held is None:  # the host has given it up, of which the ledger hears next
+        host_call = self.bridge.mark_standing(call)
+        if host_call is None:  # the host has cancelled it; the ledger gets that command next
             self.set_outcome(call, Failed(Failure.CANCELLED))
-        elif held.ticket is not None:
-            outcome = Stands(StandingCall(self.bridge, call, text, held.ending_future))
-            if not held.ticket.future.set_result(outcome):
-                self.bridge.end_call(call, NORMAL_CLEARING)  # the loop that waited for it is closed
+        elif host_call.ticket is not None:
+            outcome = Stands(StandingCall(self.bridge, call, text, host_call.ending_future))
+            if not host_call.ticket.future.set_result(outcome):
+                self.bridge.end_call(call, NORMAL_CLEARING)  # the event loop that awaited it is closed
 
     def refuse(self, call: str, retry_after_us: int) -> None:
         self.set_outcome(call, Refused(retry_after_us / 1e6))
@@ -101,76 +99,80 @@
         self.set_outcome(call, Failed(why))
 
     def set_outcome(self, call: str, outcome: Outcome) -> None:
-        held = self.bridge.remove_call(call)
-        if held is not None and held.ticket is not None:
-            held.ticket.future.set_result(outcome)
+        host_call = self.bridge.remove_call(call)
+        if host_call is not None and host_call.ticket is not None:
+            host_call.ticket.future.set_result(outcome)
 
     def release(self, call: str, cause: int) -> None:
-        held = self.bridge.remove_call(call)
-        if held is not None:
+        host_call = self.bridge.remove_call(call)
+        if host_call is not None:
             by = EndedBy.SWITCH if cause == NORMAL_CLEARING else EndedBy.CUT
-            held.ending_future.set_result(Ending(by, cause))
+            host_call.ending_future.set_result(Ending(by, cause))
 
 
 class HostBridge:
-    """Where host and router meet: the calls of the host, and its words for the router's next turn."""
+    """Thread-safe bridge between the host and the router: the host's calls, and its queued commands."""
 
     def __init__(self, bounds: Bounds) -> None:
-        self.lock = threading.RLock()  # a finalizer may run inside, on the thread that holds it
-        self.owner_pid = 0  # that opened the router
+        self.lock = threading.RLock()  # re-entrant: a finalizer may run on the thread that holds it
+        self.owner_pid = 0  # the process that opened the router
         self.admission = AdmissionControl(bounds)
         self.calls: dict[str, HostCall] = {}
-        self.commands: list[tuple[str, int | None]] = []  # a call, and the cause if the host ends it
+        self.commands: list[tuple[str, int | None]] = []  # (call, cause to end it with; None to place it)
         self.processing_scheduled = False
         self.loop: asyncio.AbstractEventLoop | None = None
         self.router: Router | None = None
         self.front = EmbeddedFront(self)
 
-    # From any thread
+    # Called from any thread
 
     def submit(self, request: CallRequest) -> Ticket:
-        """Takes a call, or gives it its final answer at once."""
+        """Admits a call and queues it, or resolves its ticket as refused at once."""
         call = secrets.token_hex(8)
         ticket = Ticket(self, call)
         with self.lock:
-            verdict = self.admission.admit(call)
-            if verdict is AdmissionResult.ADMITTED:
+            result = self.admission.admit(call)
+            if result is AdmissionResult.ADMITTED:
                 deadline = now_us() + int(request.wait_s * 1e6)
                 self.calls[call] = HostCall(ticket, request, deadline)
                 self.enqueue(call, None)
-        if verdict is not AdmissionResult.ADMITTED:
+        if result is not AdmissionResult.ADMITTED:
             ticket.future.set_result(Refused(REFUSAL_RETRY_AFTER_US / 1e6))
         return ticket
 
     def outcome_collected(self, call: str) -> None:
+        """Drops the ticket, so that the host holds the only references to the call."""
         with self.lock:
             if self.admission.mark_collected(call):
                 self.calls[call].ticket = None
 
     def end_call(self, call: str, cause: int) -> None:
+        """Queues the end of a call: its cancellation, or its release if it stands. Repeats are ignored."""
         if os.getpid() != self.owner_pid:
-            return  # a forked child has no part in the calls of its parent
+            return  # a forked child does not own its parent's calls
         with self.lock:
-            held = self.calls.get(call)
-            if held is not None and held.host_cause is None:
-                held.host_cause = cause
+            host_call = self.calls.get(call)
+            if host_call is not None and host_call.host_cause is None:
+                host_call.host_cause = cause
                 self.enqueue(call, cause)
 
     def reference_lost(self, call: str) -> None:
-        """May run wherever the interpreter drops the last reference, so it only leaves a word."""
+        """May run wherever the interpreter drops the last reference, so it only queues a command."""
         if os.getpid() == self.owner_pid and call in self.calls:
             log.warning("call_dropped", extra={"call": call})
             self.end_call(call, NORMAL_CLEARING)
 
     def enqueue(self, call: str, cause: int | None) -> None:
+        """Queues a command and wakes the router's loop unless it is already scheduled to process them."""
         self.commands.append((call, cause))
         if not self.processing_scheduled and self.loop is not None:
             self.processing_scheduled = True
             self.loop.call_soon_threadsafe(self.process_commands)
 
-    # On the router's thread
+    # Called on the router's thread
 
     def attach(self, router: Router) -> None:
+        """Connects an open router, and schedules the commands that were queued before."""
         with self.lock:
             self.router, self.loop = router, router.loop
             if self.commands:
@@ -178,32 +180,33 @@
                 router.loop.call_soon(self.process_commands)
 
     def process_commands(self) -> None:
-        """Hands on what the host has said since the last time."""
+        """Passes the host's queued commands to the router."""
         router = self.router
         with self.lock:
-            self.processing_scheduled = False  # first, as a finalizer may leave a word between the two lines
-            words, self.commands = self.commands, []
+            self.processing_scheduled = False  # first: a finalizer may queue a command before the next line
+            commands, self.commands = self.commands, []
         if router is None:
             return
-        for call, cause in words:
-            held = self.calls.get(call)
+        for call, cause in commands:
+            host_call = self.calls.get(call)
             if cause is not None:
                 self.process_end(router, call, cause)
-            elif held is not None and held.request is not None:
-                request, held.request = held.request, None
-                router.post(self.make_offer(call, request, held.deadline_us))
+            elif host_call is not None and host_call.request is not None:
+                request, host_call.request = host_call.request, None
+                router.post(self.make_offer(call, request, host_call.deadline_us))
 
     def process_end(self, router: Router, call: str, cause: int) -> None:
-        """Passes on that the host ends a call. The first post counts if it stands, the second if not."""
+        """Ends a call for the host. `Released` applies if it stands, `Cancelled` if it is unanswered."""
         with self.lock:
             stands = self.admission.states.get(call) in (CallState.UNCOLLECTED, CallState.COLLECTED)
-            held = self.remove_call(call) if stands else None
-        if held is not None:
-            held.ending_future.set_result(Ending(EndedBy.HOST, cause))
+            host_call = self.remove_call(call) if stands else None
+        if host_call is not None:
+            host_call.ending_future.set_result(Ending(EndedBy.HOST, cause))
         router.post(Released(call, cause))
         router.post(Cancelled(call))
 
-    def make_offer(self, call: str, request: CallRequest, deadline: int) -> Offer:
+    def make_offer(self, call: str, request: CallRequest, deadline_us: int) -> Offer:
+        """The core's form of a request, with the time left until its deadline."""
         route = Route(
             dest=request.dest,
             width=request.width,
@@ -212,19 +215,20 @@
             transit=request.transit,
             again=request.again,
         )
-        left = max(deadline - now_us(), 0)
-        return Offer(self.front, call, request.klass, request.number, request.text, left, route)
+        left_us = max(deadline_us - now_us(), 0)
+        return Offer(self.front, call, request.klass, request.number, request.text, left_us, route)
 
     def mark_standing(self, call: str) -> HostCall | None:
+        """Records that a call stands; None if the host has ended it in the meantime."""
         with self.lock:
-            held = self.calls.get(call)
+            host_call = self.calls.get(call)
             if (
-                held is None
-                or held.host_cause is not None
+                host_call is None
+                or host_call.host_cause is not None
                 or not self.admission.mark_standing(call, now_us())
             ):
                 return None
-            return held
+            return host_call
 
     def remove_call(self, call: str) -> HostCall | None:
         with self.lock:
@@ -232,10 +236,10 @@
             return self.calls.pop(call, None)
 
     def end_uncollected(self) -> None:
-        """Ends the calls whose outcome nobody collects, or whose host's loop has gone."""
+        """Ends the calls whose outcome was not collected in time, as when the host's loop is closed."""
         with self.lock:
-            late = self.admission.expired_outcomes(now_us())
-        for call in late:
+            expired = self.admission.expired_outcomes(now_us())
+        for call in expired:
             log.warning("outcome_not_collected", extra={"call": call})
             self.end_call(call, NORMAL_CLEARING)
 
@@ -245,36 +249,40 @@
 
     def open_calls(self) -> list[str]:
         with self.lock:
-            return [call for call, stage in self.admission.states.items() if stage is CallState.OPEN]
+            return [call for call, state in self.admission.states.items() if state is CallState.OPEN]
 
     def fail_remaining(self) -> None:
-        """The router's thread ends: whoever still waits for something hears it now."""
+        """Resolves every pending future when the router's thread ends."""
         with self.lock:
             self.admission.closing = True
             self.loop = None
-            held, self.calls = self.calls, {}
+            calls, self.calls = self.calls, {}
             self.admission.clear()
-        for one in held.values():
-            if one.ticket is not None:
-                one.ticket.future.set_result(Failed(Failure.FAULT))
-            one.ending_future.set_result(Ending(EndedBy.CUT, TEMPORARY_FAILURE))
+        for host_call in calls.values():
+            if host_call.ticket is not None:
+                host_call.ticket.future.set_result(Failed(Failure.FAULT))
+            host_call.ending_future.set_result(Ending(EndedBy.CUT, TEMPORARY_FAILURE))
 
     def reset_after_fork(self) -> None:
-        """In a forked child, where the router does not run: nothing is waited for any more, nor any lock."""
+        """Resolves every pending future in a forked child, where the router does not run.
+
+        Takes no existing lock: its holder may be a thread that the child does not have.
+        """
         self.lock = threading.RLock()
         self.loop = None
-        for one in self.calls.values():
-            if one.ticket is not None:
-                one.ticket.future.set_after_fork(Failed(Failure.FAULT))
-            one.ending_future.set_after_fork(Ending(EndedBy.CUT, TEMPORARY_FAILURE))
+        for host_call in self.calls.values():
+            if host_call.ticket is not None:
+                host_call.ticket.future.set_after_fork(Failed(Failure.FAULT))
+            host_call.ending_future.set_after_fork(Ending(EndedBy.CUT, TEMPORARY_FAILURE))
         self.calls = {}
 
 
 class EmbeddedRouter:
     """A call router inside a host application. Open it with `with` or `async with`; see docs/embedding.md.
 
-    It keeps the daemon's rules towards switches: the same ledger, decisions and links. All methods may be
-    called from any thread; those that are coroutines, from any loop.
+    It uses the same ledger, decisions and links as the daemon, and so keeps the same rules towards switches.
+    Methods may be called from any thread, and coroutine methods from any event loop; `close` may not be
+    called from the router's own thread.
     """
 
     def __init__(
@@ -288,11 +296,12 @@
         addresses: Mapping[str, Sequence[Endpoint]] | None = None,
         preference: Preference | None = None,
     ) -> None:
-        """`config` is a checked configuration, of which `listen` and `sockets` are not used here.
+        """`config` is a checked configuration; its `listen` and `sockets` are not used.
 
-        Give routers of one process the same `share`, and configurations of different names, so that together
-        they keep a cold switch's limit. With `iax`, IAX2 callers and switches are served as well. `addresses`
-        are those of switches that have some beside the change log's, tried in the order of `preference`.
+        Routers of one process should be given the same `share` and configurations with different names, so
+        that together they keep the limit of a cold switch. With `iax`, IAX2 callers and switches are served
+        too. `addresses` maps switches to the addresses that replace the one in the change log; they are
+        tried in the order of `preference`.
         """
         self.config = config
         self.name = config.name
@@ -304,7 +313,7 @@
         self.bridge = HostBridge(bounds or Bounds())
         self.router: Router | None = None
         self.thread: threading.Thread | None = None
-        self.owner_pid = 0  # that opened it
+        self.owner_pid = 0  # the process that opened it
         self.startup_done = threading.Event()
         self.thread_ended = threading.Event()
         self.stop_requested: asyncio.Event | None = None
@@ -315,15 +324,15 @@
     def from_files(
         cls, config: str, settings: str | None = None, *, share: ColdShare | None = None
     ) -> EmbeddedRouter:
-        """A router of the platform's configuration (JSON) and our own settings (protobuf text format).
+        """Makes a router from the platform's configuration (JSON) and Rowanmast's settings (protobuf text).
 
-        Raises ConfigError, with one line that names file and field.
+        Raises ConfigError with a one-line message that names the file and the field.
         """
         reader = Reader()
         checked = read_config(config, reader)
         if settings is None:
             return cls(checked, share=share, reader=reader)
-        from rowanmast.options.reader import read_options  # its library is loaded only where it is used
+        from rowanmast.options.reader import read_options  # loads protobuf only where needed
 
         options = read_options(settings)
         return cls(
@@ -336,13 +345,17 @@
             preference=options.preference,
         )
 
-    # Life
+    # Opening and closing
 
     def open(self) -> None:
-        """Starts the thread and opens the links. Raises OSError, or RouterClosed if it was open before."""
+        """Starts the thread and opens the links. A router can be opened once.
+
+        Raises RouterClosed if it was opened before, OSError if a socket can't be opened, and ValueError if
+        another router with this name uses the same `share`.
+        """
         if self.thread is not None:
-            raise RouterClosed(f"{self.name} was opened before")
-        self.owner_pid = self.bridge.owner_pid = os.getpid()  # a host may have forked since it made us
+            raise RouterClosed(f"router {self.name} was opened before; it can be opened only once")
+        self.owner_pid = self.bridge.owner_pid = os.getpid()  # the host may have forked since __init__
         self.thread = threading.Thread(
             target=self._run_thread, name=f"{EMBEDDED_THREAD_PREFIX}{self.name}", daemon=True
         )
@@ -355,24 +368,24 @@
         os.register_at_fork(after_in_child=ForkHandler(self))
 
     def close(self, drain_s: float = DEFAULT_DRAIN_S) -> None:
-        """Refuses new calls, waits up to `drain_s` for those there are, releases the rest, ends the thread.
+        """Refuses new calls, waits up to `drain_s` seconds for the existing ones, then ends the thread.
 
-        Blocks. Calls without an answer after that time fail; calls that stand are released at their switch.
-        May be called again, also while another close waits.
+        Blocks. After that time unanswered calls fail and standing calls are released at their switch. May be
+        called repeatedly, also while another `close` waits. Raises RouterClosed on the router's own thread.
         """
         if self.thread is None or not self._owned_by_this_process():
             return
         if threading.current_thread() is self.thread:
-            raise RouterClosed("close was called on the router's own thread")
+            raise RouterClosed("close() must not be called on the router's own thread")
         self._request_close(drain_s)
         self.thread_ended.wait(drain_s + JOIN_TIMEOUT_S)
         self.thread.join(JOIN_TIMEOUT_S)
         atexit.unregister(self.close)
 
     def wait_ready(self, timeout_s: float = 2.0) -> bool:
-        """Blocks until the switches are known and each has a connection; False if that takes longer.
+        """Blocks until the switches are known and each is connected; False after `timeout_s` seconds.
 
-        Calls may be placed before: those for a switch that is not known yet are refused.
+        Calls may be placed earlier; those to a switch that is not known yet are refused.
         """
         end = time.monotonic() + timeout_s
         while not self.ready() and time.monotonic() < end:
@@ -380,18 +393,18 @@
         return self.ready()
 
     def ready(self) -> bool:
-        """Whether the switches are known and each has a connection now."""
+        """Whether the switches are known and each has a connection now. Does not block."""
         if self.router is None or self.thread_ended.is_set() or not self.router.ledger.listed:
             return False
         links = list(self.router.listed_links.values())
         return all(getattr(link, "connections", True) for link in links)
 
     def drain(self) -> None:
-        """Refuses new calls from now on; those there are go on. `close` ends them."""
+        """Refuses new calls from now on. Existing calls continue until they end or `close` ends them."""
         self.bridge.refuse_new_calls()
 
     async def aclose(self, drain_s: float = DEFAULT_DRAIN_S) -> None:
-        """`close` without blocking the loop."""
+        """Like `close`, without blocking the event loop."""
         self._request_close(drain_s)
         await asyncio.to_thread(self.close, drain_s)
 
@@ -400,11 +413,11 @@
         self.drain_s = min(self.drain_s, drain_s)
         loop, event = self.bridge.loop, self.stop_requested
         if loop is not None and event is not None:
-            with suppress(RuntimeError):  # it has ended by itself in between
+            with suppress(RuntimeError):  # the loop has closed in the meantime
                 loop.call_soon_threadsafe(event.set)
 
     def _owned_by_this_process(self) -> bool:
-        """Whether this is the process that opened it: after a fork the child has no such thread."""
+        """Whether this process opened the router. A forked child has no router thread."""
         return self.owner_pid == os.getpid()
 
     def __enter__(self) -> EmbeddedRouter:
@@ -428,32 +441,43 @@
     # Calls
 
     def submit(self, request: CallRequest) -> Ticket:
-        """Places a call and returns at once. Raises RequestError or RouterClosed; never blocks."""
+        """Places a call and returns without waiting for its outcome.
+
+        Beyond the host's `Bounds` and after `drain` the ticket is resolved as Refused at once. Raises
+        RequestError if the call's class is not in the settings, and RouterClosed if the router is not open
+        in this process.
+        """
         if self.thread is None or not self._owned_by_this_process():
-            raise RouterClosed(f"{self.name} is not open in this process")
+            raise RouterClosed(f"router {self.name} is not open in this process")
         if self.thread_ended.is_set():
-            raise RouterClosed(f"{self.name} is closed")
+            raise RouterClosed(f"router {self.name} is closed")
         if request.klass not in self.config.classes:
             known = ", ".join(sorted(self.config.classes))
             raise RequestError(f"klass: {request.klass!r} is not in the settings, which have {known}")
         return self.bridge.submit(request)
 
     async def place(self, request: CallRequest) -> Outcome:
-        """The call's one final outcome. Cancelling the task takes the call back, or releases it."""
+        """Places a call and returns its final outcome. Raises as `submit`.
+
+        If the task is cancelled, the call is cancelled, or released if it stands.
+        """
         return await self.submit(request).outcome()
 
     def place_blocking(self, request: CallRequest) -> Outcome:
-        """The same for a plain thread, which waits for it."""
+        """Like `place`, blocking the calling thread. KeyboardInterrupt cancels the call."""
         ticket = self.submit(request)
         try:
             return ticket.result()
-        except BaseException:  # such as KeyboardInterrupt: nobody collects the outcome any more
+        except BaseException:  # such as KeyboardInterrupt: the outcome won't be collected
             ticket.cancel()
             raise
 
     @asynccontextmanager
     async def call(self, request: CallRequest) -> AsyncIterator[StandingCall]:
-        """A call that stands inside `async with`, released at its end. Raises CallRefused or CallFailed."""
+        """Places a call, which stands for the body of `async with` and is released after it.
+
+        Raises CallRefused or CallFailed if the call does not stand, otherwise as `submit`.
+        """
         call = standing_or_raise(await self.place(request))
         try:
             yield call
@@ -462,7 +486,7 @@
 
     @contextmanager
     def call_blocking(self, request: CallRequest) -> Iterator[StandingCall]:
-        """The same for a plain thread."""
+        """Like `call`, for `with` and a blocking thread."""
         call = standing_or_raise(self.place_blocking(request))
         try:
             yield call
@@ -470,11 +494,11 @@
             call.release()
 
     def counts(self) -> tuple[int, int]:
-        """How many calls of the host wait for their final answer now, and how many stand."""
+        """The number of the host's calls without a final answer, and the number of standing calls."""
         with self.bridge.lock:
             return self.bridge.admission.open_count, self.bridge.admission.standing_count
 
-    # The thread
+    # The router's thread
 
     def _run_thread(self) -> None:
         try:
@@ -497,9 +521,9 @@
             if self.addresses:
                 router.add_link_factory(MultiAddressLinks(router, self.addresses, self.preference).make_link)
             if self.iax is not None:
-                part = IaxComponent(router, self.iax)
-                router.add_components(part)
-                router.add_link_factory(part.make_link)
+                component = IaxComponent(router, self.iax)
+                router.add_components(component)
+                router.add_link_factory(component.make_link)
             await router.open()
             self.bridge.attach(router)
             self.startup_done.set()
@@ -510,19 +534,19 @@
                     self.bridge.end_uncollected()
             await self._shut_down(router)
         finally:
-            self.bridge.fail_remaining()  # before the loop closes, so that no host schedules on a closed one
+            self.bridge.fail_remaining()  # before the loop closes, so that no command goes to a closed one
             if router.ledger.cold_share is not None:
                 router.ledger.cold_share.leave()
 
     async def _shut_down(self, router: Router) -> None:
-        """Answers what is owed, releases what stands, closes the links."""
+        """Waits for the drain, answers unanswered calls, releases standing calls and closes the links."""
         log.info(
             "stopping", extra={"owed": router.ledger.unanswered_count(), "calls": len(router.ledger.records)}
         )
         router.closing = True
-        for part in router.components:
-            part.begin_shutdown()
-            part.refuse_new_calls()
+        for component in router.components:
+            component.begin_shutdown()
+            component.refuse_new_calls()
         await router.wait_until(lambda: not router.ledger.records, router.loop.time() + self.drain_s)
         for call in self.bridge.open_calls():
             router.post(Cancelled(call))
@@ -541,10 +565,10 @@
 
 
 class ForkHandler:
-    """In a forked child: closes the copies of the router's sockets, so that the parent's closes are heard.
+    """Closes the copies of the router's sockets in a forked child, which has no thread to serve them.
 
-    The child has no thread that could serve them. Only descriptors are closed: whatever else is asked of the
-    loop there would reach into the parent's poll.
+    Otherwise peers would not see the connections end when the parent closes them. Only the descriptors are
+    closed: any other operation on the copied loop would affect the parent's epoll set.
     """
 
     def __init__(self, embedded: EmbeddedRouter) -> None:
@@ -562,11 +586,11 @@
 
 
 def transports(router: Router) -> Iterator[asyncio.BaseTransport]:
-    """Those of the links and of IAX2: what switches and callers would wait for if a child kept it open."""
+    """The transports of switch links and of IAX2, which peers would see as open if a child kept them."""
     for link in router.listed_links.values():
         for connection in getattr(link, "connections", ()):
             if connection.transport is not None:
                 yield connection.transport
-    for part in router.components:
-        if isinstance(part, IaxComponent):
-            yield from part.transports()
+    for component in router.components:
+        if isinstance(component, IaxComponent):
+            yield from component.transports()
--- a/rowanmast/iax2/__init__.py
+++ b/rowanmast/iax2/__init__.py
@@ -1,1 +1,1 @@
-"""IAX2 (RFC 5456) over UDP: a second front, and links to switches that speak it."""
+"""IAX2 (RFC 5456) over UDP: a front for callers and links to switches."""
--- a/rowanmast/iax2/endpoint.py
+++ b/rowanmast/iax2/endpoint.py
@@ -1,4 +1,4 @@
-"""The UDP socket of all IAX2 calls, in and out: finds each frame's call and minds the calls' timers."""
+"""The UDP socket of all incoming and outgoing IAX2 calls: dispatches frames and runs the sessions' timers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from rowanmast.iax2.session import Session
 
 SWEEP_INTERVAL_S = 0.02
-MAX_LEGS = 4000  # calls beyond which no new one is taken: each costs memory, also one that is refused
+MAX_LEGS = 4000  # incoming calls above this get INVAL; even a rejected call uses memory for a while
 HANDLED_SUBCLASSES = (Iax.NEW, Iax.HANGUP, Iax.REJECT, Iax.ACCEPT, Iax.UNSUPPORT)
 Address = tuple[str, int]
 
@@ -20,21 +20,21 @@
 
 
 class LegListener(Protocol):
-    """Who a call's frames are for."""
+    """Receives the frames of one call."""
 
     def frame_received(self, frame: Frame) -> None: ...
 
     def leg_lost(self) -> None:
-        """The other side is dead, forgot the call, or began another under its number."""
+        """The remote side is unresponsive, no longer knows the call, or has reused its call number."""
 
     def may_retransmit(self) -> bool:
-        """Whether a NEW of which nothing was heard may be sent again."""
+        """Whether a NEW without any reply may be retransmitted."""
 
 
 class Leg:
-    """One call with one other side."""
+    """One call with a remote side; its session is the reliable exchange of frames."""
 
-    def __init__(self, endpoint: Endpoint, address: Address, session: Session) -> None:
+    def __init__(self, endpoint: IaxEndpoint, address: Address, session: Session) -> None:
         self.endpoint = endpoint
         self.address = address
         self.session = session
@@ -49,20 +49,20 @@
         self.endpoint.flush(self)
 
     def notify_lost(self) -> None:
-        owner, self.listener = self.listener, None
-        if owner is not None and self.session.ended_at is None:
-            owner.leg_lost()
+        listener, self.listener = self.listener, None
+        if listener is not None and self.session.ended_at is None:
+            listener.leg_lost()
 
 
-class Endpoint(asyncio.DatagramProtocol):
-    """`invited` is told of each NEW that begins a call, and says who owns it."""
+class IaxEndpoint(asyncio.DatagramProtocol):
+    """The UDP socket. `on_new` is called with each NEW that begins a call, and returns its listener."""
 
     def __init__(self, clock: Callable[[], int], on_new: Callable[[Leg, Frame], LegListener]) -> None:
         self.clock = clock
         self.on_new = on_new
-        self.legs: dict[int, Leg] = {}
-        self.legs_by_remote: dict[tuple[Address, int], Leg] = {}  # by the other side's number
-        self.pending_pokes: dict[int, Callable[[], None]] = {}  # who waits for a PONG, by our number
+        self.legs: dict[int, Leg] = {}  # by local call number
+        self.legs_by_remote: dict[tuple[Address, int], Leg] = {}  # incoming ones, by remote call number
+        self.pending_pokes: dict[int, Callable[[], None]] = {}  # called at the PONG, by local call number
         self.last_call_number = 0
         self.transport: asyncio.DatagramTransport | None = None
         self.sweep_timer: asyncio.TimerHandle | None = None
@@ -77,7 +77,7 @@
     def error_received(self, exc: Exception) -> None:
         log.info("iax_socket", extra={"why": exc})
 
-    # Calls out
+    # Outgoing calls
 
     def open_leg(self, address: Address, listener: LegListener) -> Leg:
         leg = Leg(self, address, Session(self.allocate_number(), self.clock()))
@@ -85,15 +85,15 @@
         self.add_leg(leg)
         return leg
 
-    def poke(self, address: Address, answered: Callable[[], None]) -> int:
-        """Asks whether the other side is there; the number serves to forget the question."""
+    def poke(self, address: Address, on_pong: Callable[[], None]) -> int:
+        """Sends a POKE; `on_pong` is called at the PONG. Returns the key of its entry in `pending_pokes`."""
         number = self.allocate_number()
-        self.pending_pokes[number] = answered
+        self.pending_pokes[number] = on_pong
         self.transmit(Frame(number, 0, 0, 0, 0, FrameType.IAX, Iax.POKE), address)
         return number
 
     def allocate_number(self) -> int:
-        """The next number that no call uses, so that a number rests as long as it can."""
+        """The next unused call number in ascending order, so that a number is reused as late as possible."""
         for step in range(1, frames.MAX_CALL_NUMBER + 1):
             number = (self.last_call_number + step - 1) % frames.MAX_CALL_NUMBER + 1
             if number not in self.legs and number not in self.pending_pokes:
@@ -133,13 +133,13 @@
                 )
             return
         now = self.clock()
-        news = leg.session.receive(now, frame)
+        delivered = leg.session.receive(now, frame)
         self.flush(leg)
-        if news is not None:
-            self.handle_frame(leg, news)
+        if delivered is not None:
+            self.handle_frame(leg, delivered)
 
     def find_or_create_leg(self, frame: Frame, address: Address) -> Leg | None:
-        """The call that the frame belongs to; a NEW that is no repeat begins one."""
+        """The call that the frame belongs to; creates one for a NEW that is not a retransmission."""
         if frame.destination:
             leg = self.legs.get(frame.destination)
             fits = leg is not None and leg.address == address
@@ -152,7 +152,7 @@
         first = known.session.initial_new if known is not None else None
         if first is not None and (first.timestamp, first.elements) == (frame.timestamp, frame.elements):
             return known
-        if known is not None:  # the other side started anew, or has used all its numbers
+        if known is not None:  # the remote side has restarted, or has reused the call number
             self.remove_leg(known)
             known.notify_lost()
         if len(self.legs) >= MAX_LEGS:
@@ -194,9 +194,9 @@
     def sweep(self) -> None:
         now = self.clock()
         for leg in list(self.legs.values()):
-            unheard = leg.session.remote_number == 0 and leg.session.ended_at is None
-            barred = unheard and leg.listener is not None and not leg.listener.may_retransmit()
-            if barred or not leg.session.run_timers(now):
+            no_reply = leg.session.remote_number == 0 and leg.session.ended_at is None
+            abandoned = no_reply and leg.listener is not None and not leg.listener.may_retransmit()
+            if abandoned or not leg.session.run_timers(now):
                 self.remove_leg(leg)
                 leg.notify_lost()
             elif leg.session.is_expired(now):
--- a/rowanmast/iax2/frames.py
+++ b/rowanmast/iax2/frames.py
@@ -1,4 +1,4 @@
-"""IAX2 full frames and their information elements (RFC 5456, section 8): a codec without sockets."""
+"""Codec of IAX2 full frames and their information elements (RFC 5456, section 8); does no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from enum import IntEnum
 
 HEADER = struct.Struct("!HHIBBBB")
-MAX_FRAME_BYTES = 1400  # bytes that pass unfragmented
+MAX_FRAME_BYTES = 1400  # fits in one packet without fragmentation
 MAX_CALL_NUMBER = 0x7FFF
 FULL_FRAME_BIT = RETRANSMITTED_BIT = 0x8000
 PROTOCOL_VERSION = 2
@@ -45,7 +45,7 @@
 
 
 class Ie(IntEnum):
-    """Information elements. Those from 0xC0 on are rowanmast's own; a peer passes over what it lacks."""
+    """Information elements. Those from 0xC0 on are private to rowanmast; peers ignore unknown elements."""
 
     CALLED_NUMBER = 0x01
     CALLED_CONTEXT = 0x05
@@ -53,14 +53,14 @@
     CAUSE = 0x16
     IAX_UNKNOWN = 0x17
     CAUSECODE = 0x2A
-    DESCRIPTION = 0xC0  # UTF-8, in as many elements as it takes
-    ROUTE = 0xC1  # figures such as dest:2;width:1;via:-1
+    DESCRIPTION = 0xC0  # UTF-8, split over several elements if needed
+    ROUTE = 0xC1  # for example dest:2;width:1;via:-1
     SETUP_MS = 0xC2  # 32 bits: how long the sender of a NEW waits for the answer
-    LOAD = 0xC3  # a load report such as x0:12;x1:40
+    LOAD = 0xC3  # a load report, for example x0:12;x1:40
 
 
 class FrameError(ValueError):
-    """The datagram is no full frame that we take."""
+    """A frame or one of its elements is malformed, or elements do not fit in a frame."""
 
 
 Elements = tuple[tuple[int, bytes], ...]
@@ -83,7 +83,7 @@
 
     @property
     def is_sequenced(self) -> bool:
-        """Whether it takes a sequence number, and so wants to be acknowledged."""
+        """Whether it takes a sequence number and has to be acknowledged."""
         return not self.is_iax(Iax.ACK, Iax.INVAL, Iax.VNAK)
 
     def get(self, element: Ie) -> bytes | None:
@@ -105,7 +105,7 @@
 
 
 def text_elements(element: Ie, text: str) -> Elements:
-    """A text in elements of 255 bytes; none for an empty one."""
+    """Splits a text into elements of up to 255 bytes; none if it is empty."""
     data = text.encode("utf-8", "surrogatepass")
     return tuple((int(element), data[at : at + 255]) for at in range(0, len(data), 255))
 
@@ -115,7 +115,7 @@
 
 
 def fits_in_frame(elements: Elements) -> bool:
-    """Whether they can go into one frame."""
+    """Whether a frame with these elements is within MAX_FRAME_BYTES."""
     return HEADER.size + sum(2 + len(data) for _, data in elements) <= MAX_FRAME_BYTES
 
 
@@ -128,7 +128,7 @@
     at = 0
     while at < len(data):
         if at + 2 > len(data) or at + 2 + data[at + 1] > len(data):
-            raise FrameError("an information element is cut short")
+            raise FrameError("truncated information element")
         end = at + 2 + data[at + 1]
         elements.append((data[at], data[at + 2 : end]))
         at = end
@@ -146,18 +146,18 @@
         frame.subclass,
     ) + encode_elements(frame.elements)
     if len(data) > MAX_FRAME_BYTES:
-        raise FrameError(f"frame of {len(data)} bytes is over {MAX_FRAME_BYTES}")
+        raise FrameError(f"frame of {len(data)} bytes exceeds {MAX_FRAME_BYTES}")
     return data
 
 
 def decode(data: bytes) -> Frame:
     if len(data) < HEADER.size:
-        raise FrameError("shorter than a full frame")
+        raise FrameError("datagram is shorter than a full frame header")
     source, destination, timestamp, oseqno, iseqno, kind, subclass = HEADER.unpack_from(data)
     if not source & FULL_FRAME_BIT:
-        raise FrameError("a mini or meta frame")
+        raise FrameError("mini and meta frames are not supported")
     if subclass & 0x80:
-        raise FrameError("a subclass that is a power of two")
+        raise FrameError("subclass is encoded as a power of two")
     signalling = kind in (FrameType.IAX, FrameType.CONTROL)
     return Frame(
         source=source & MAX_CALL_NUMBER,
--- a/rowanmast/iax2/front.py
+++ b/rowanmast/iax2/front.py
@@ -1,4 +1,4 @@
-"""The IAX2 front: callers that speak IAX2. Adapts them to the core's port `Front`."""
+"""Callers that speak IAX2; implements the core's `Front` protocol."""
 
 from __future__ import annotations
 
@@ -24,26 +24,28 @@
 )
 from rowanmast.routes import parse_route
 
-MAX_SETUP_MS = 3_600_000  # nobody waits longer, and timers take no time without bounds
+MAX_SETUP_MS = 3_600_000  # no caller waits longer, and timers need a bounded value
 
 log = logging.getLogger(__name__)
 
 
 class IaxFront:
+    """The IAX2 callers' legs, by call id; `accepts_calls` is false on the backup router of a pair."""
+
     survives_restart = False
 
-    def __init__(self, inbox: Inbox, random: Random, accepts_new_calls: Callable[[], bool]) -> None:
+    def __init__(self, inbox: Inbox, random: Random, accepts_calls: Callable[[], bool]) -> None:
         self.inbox = inbox
         self.random = random
-        self.accepts_new_calls = accepts_new_calls
+        self.accepts_calls = accepts_calls
         self.legs: dict[str, Leg] = {}
 
-    # The port
+    # Front
 
     def answer(self, call: str, text: str) -> None:
         leg = self.legs.get(call)
         if leg is None:
-            return  # the caller hung up in this same turn, and the ledger hears of it next
+            return  # the caller has just hung up; the input that reports it to the ledger is queued
         description = text_elements(Ie.DESCRIPTION, text)
         if not fits_in_frame(description):
             log.warning("too_long_for_iax", extra={"call": call})
@@ -54,8 +56,8 @@
         leg.send(FrameType.CONTROL, Control.ANSWER)
 
     def refuse(self, call: str, retry_after_us: int) -> None:
-        wait = max(math.ceil(retry_after_us / 1_000_000), 1)
-        self.end_call(call, Iax.REJECT, causes.CONGESTION, f"no way now, come back after {wait} s")
+        retry_after_s = max(math.ceil(retry_after_us / 1_000_000), 1)
+        self.end_call(call, Iax.REJECT, causes.CONGESTION, f"no way now, come back after {retry_after_s} s")
 
     def fail(self, call: str, why: Failure) -> None:
         cause = causes.MANDATORY_MISSING if why is Failure.UNFIT else causes.TEMPORARY_FAILURE
@@ -73,7 +75,7 @@
 
     def handle_new(self, leg: Leg, frame: Frame) -> IncomingCall:
         call = f"{self.random.getrandbits(64):016x}"
-        if not self.accepts_new_calls():
+        if not self.accepts_calls():
             leg.end(
                 Iax.REJECT, cause_elements(causes.TEMPORARY_FAILURE, "backup router, come back after 1 s")
             )
@@ -101,7 +103,7 @@
 
 
 class IncomingCall:
-    """The caller of one call, as its frames' owner."""
+    """Receives the frames of one caller's leg."""
 
     def __init__(self, front: IaxFront, call: str) -> None:
         self.front = front
@@ -110,8 +112,9 @@
     def frame_received(self, frame: Frame) -> None:
         if frame.is_iax(Iax.HANGUP, Iax.REJECT) and self.front.legs.pop(self.call, None) is not None:
             cause = frame.integer(Ie.CAUSECODE) or causes.NORMAL_CLEARING
-            self.front.inbox.post(Released(self.call, cause))  # counts if the call stands,
-            self.front.inbox.post(Cancelled(self.call))  # and this if it does not
+            # Only one of the two takes effect: the first if the call stands, the second otherwise.
+            self.front.inbox.post(Released(self.call, cause))
+            self.front.inbox.post(Cancelled(self.call))
 
     def leg_lost(self) -> None:
         if self.front.legs.pop(self.call, None) is not None:
--- a/rowanmast/iax2/peers.py
+++ b/rowanmast/iax2/peers.py
@@ -1,4 +1,4 @@
-"""Switches that speak IAX2. Adapts each to the core's port `SwitchLink`."""
+"""Links to switches that speak IAX2; implements the core's `SwitchLink` protocol."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from rowanmast import causes
 from rowanmast import interface as api
-from rowanmast.core.ports import Answered, Attempt, AttemptEnded, CallEnded, Ending, Inbox, SendGate
-from rowanmast.iax2.endpoint import Address, Endpoint, Leg
+from rowanmast.core.ports import Answered, Attempt, AttemptFailed, CallEnded, EndReason, Inbox, SendGate
+from rowanmast.iax2.endpoint import Address, IaxEndpoint, Leg
 from rowanmast.iax2.frames import (
     PROTOCOL_VERSION,
     Control,
@@ -30,6 +30,8 @@
 
 
 class IaxSwitchLink:
+    """The outgoing calls to one switch, each on a leg of the shared UDP endpoint."""
+
     survives_restart = False
 
     def __init__(
@@ -39,18 +41,19 @@
         iax_address: Address,
         inbox: Inbox,
         gate: SendGate,
-        endpoint: Endpoint,
+        endpoint: IaxEndpoint,
     ) -> None:
         self.exchange = exchange
-        self.address = address  # as the change log gives it; a new one tells of a new machine
+        self.address = address  # from the change log; a different one means a different machine
         self.iax_address = iax_address
         self.inbox = inbox
         self.gate = gate
         self.endpoint = endpoint
         self.calls: dict[str, OutgoingCall] = {}
-        self.on_removal_done: Callable[[], None] | None = None  # from discovery: called once no call is left
+        # Set once discovery has removed the switch; called when no call is left.
+        self.on_removal_done: Callable[[], None] | None = None
 
-    # The port
+    # SwitchLink
 
     def set_up(self, attempt: Attempt) -> None:
         left_ms = max((attempt.deadline - self.endpoint.clock()) // 1000, 1)
@@ -63,7 +66,7 @@
         )
         if not fits_in_frame(elements):
             log.warning("too_long_for_iax", extra={"call": attempt.call})
-            self.inbox.post(AttemptEnded(self.exchange, attempt.call, attempt.number, api.Outcome.NOT_SENT))
+            self.inbox.post(AttemptFailed(self.exchange, attempt.call, attempt.number, api.Outcome.NOT_SENT))
             return
         outgoing = self.calls[attempt.call] = OutgoingCall(self, attempt)
         outgoing.leg.send(FrameType.IAX, Iax.NEW, elements)
@@ -96,11 +99,11 @@
         timeout = loop.call_later(PROBE_TIMEOUT_S, silent)
 
     def verify_alive(self) -> None:
-        """Each call asks for signs of life by itself."""
+        """Does nothing: each call's session sends its own PINGs."""
 
-    def remove(self, on_empty: Callable[[], None]) -> None:
-        """Discovery has removed the switch. Calls that stand stay until their ends."""
-        self.on_removal_done = on_empty
+    def remove(self, on_removal_done: Callable[[], None]) -> None:
+        """Discovery has removed the switch. Standing calls remain until they end."""
+        self.on_removal_done = on_removal_done
         self.finish_removal()
 
     def finish_removal(self) -> None:
@@ -112,11 +115,11 @@
         self.on_removal_done = None
 
     def abandon(self) -> None:
-        """The switch's machine is another one now: what stands there is over."""
+        """The switch has moved to another machine: reports standing calls as ended and hangs up all calls."""
         for call, outgoing in list(self.calls.items()):
             if outgoing.stands:
-                over = CallEnded(self.exchange, call, api.Outcome.CUT, why=Ending.SWITCH_REMOVED)
-                self.inbox.post(over)
+                ended = CallEnded(self.exchange, call, api.Outcome.CUT, why=EndReason.SWITCH_REMOVED)
+                self.inbox.post(ended)
         self.close()
 
     def close(self) -> None:
@@ -125,7 +128,7 @@
 
 
 class OutgoingCall:
-    """One call to the switch, as its frames' owner."""
+    """One call to the switch; receives the frames of its leg."""
 
     def __init__(self, link: IaxSwitchLink, attempt: Attempt) -> None:
         self.link = link
@@ -136,7 +139,7 @@
 
     def frame_received(self, frame: Frame) -> None:
         if self.link.calls.get(self.attempt.call) is not self:
-            return  # called off: the switch has our HANGUP, whatever crossed it
+            return  # already cancelled or released: this frame crossed the HANGUP
         try:
             self.handle_frame(frame)
         except FrameError as error:
@@ -172,4 +175,4 @@
             self.link.inbox.post(CallEnded(exchange, attempt.call, causes.outcome_after_answer(code), report))
             return
         outcome = causes.outcome_before_answer(code)
-        self.link.inbox.post(AttemptEnded(exchange, attempt.call, attempt.number, outcome, cause, report))
+        self.link.inbox.post(AttemptFailed(exchange, attempt.call, attempt.number, outcome, cause, report))
--- a/rowanmast/iax2/session.py
+++ b/rowanmast/iax2/session.py
@@ -1,6 +1,6 @@
-"""One IAX2 call's reliable exchange of full frames (RFC 5456, section 7), without sockets.
+"""The reliable exchange of full frames in one IAX2 call (RFC 5456, section 7); does no I/O.
 
-Frames are numbered, acknowledged, sent again a bounded number of times, and handed on once and in order.
+Frames are numbered, acknowledged, retransmitted a limited number of times, and delivered once and in order.
 Times are microseconds.
 """
 
@@ -10,33 +10,35 @@
 
 from rowanmast.iax2.frames import Elements, Frame, FrameError, FrameType, Iax, fits_in_frame
 
-FIRST_RETRANSMIT_US = 250_000  # before a frame that is not acknowledged is sent again; doubles each time
-MAX_RETRANSMITS = 3  # a side that fell silent on a call is so found dead within 6 s, and the call released
-LINGER_US = 5_000_000  # an ended call still acknowledges repeats, and its number rests, for this long
-PING_INTERVAL_US = 2_000_000  # a call on which nothing was heard for this long is asked whether it lives
+FIRST_RETRANSMIT_US = 250_000  # delay before the first retransmission; doubles each time
+MAX_RETRANSMITS = 3  # an unresponsive remote side is detected, and its call released, within 6 s
+LINGER_US = 5_000_000  # an ended call acknowledges retransmissions and keeps its number for this long
+PING_INTERVAL_US = 2_000_000  # a call that has received nothing for this long sends a PING
 
 
 class Session:
+    """Sequence numbers, unacknowledged frames and timers of one call; the endpoint sends the `outbox`."""
+
     def __init__(self, number: int, now: int, remote_number: int = 0) -> None:
         self.number = number
-        self.remote_number = remote_number  # the other side's call number; 0 until it is known
+        self.remote_number = remote_number  # the remote side's call number; 0 until it is known
         self.started_at = now
         self.heard_at = now
         self.oseqno = 0  # of the next frame sent
         self.iseqno = 0  # of the next frame expected
         self.last_timestamp = -1
-        self.unacked: list[Frame] = []  # in order
+        self.unacked: list[Frame] = []  # oldest first
         self.retransmits = 0
         self.retransmit_at = 0
         self.outbox: list[Frame] = []
-        self.ended_at: int | None = None  # a HANGUP or REJECT was sent or heard
-        self.initial_new: Frame | None = None  # the NEW that began a call from the other side
+        self.ended_at: int | None = None  # when a HANGUP or REJECT was sent or received
+        self.initial_new: Frame | None = None  # the NEW that began an incoming call
 
     # Sending
 
     def send(self, now: int, kind: FrameType, subclass: int, elements: Elements = ()) -> None:
-        """Sends a frame that is numbered and sent again until it is acknowledged."""
-        if not fits_in_frame(elements):  # said before it takes a number, or it would be tried for ever
+        """Sends a numbered frame, which is retransmitted until it is acknowledged."""
+        if not fits_in_frame(elements):  # checked before it is numbered, or it would be retried for ever
             raise FrameError("the elements are too long for one frame")
         frame = self.make_frame(now, kind, subclass, elements)
         self.oseqno = (self.oseqno + 1) & 0xFF
@@ -46,22 +48,22 @@
         self.outbox.append(frame)
 
     def make_frame(self, now: int, kind: FrameType, subclass: int, elements: Elements = ()) -> Frame:
-        stamp = max((now - self.started_at) // 1000, self.last_timestamp + 1)
-        self.last_timestamp = stamp
+        timestamp = max((now - self.started_at) // 1000, self.last_timestamp + 1)
+        self.last_timestamp = timestamp
         return Frame(
-            self.number, self.remote_number, stamp, self.oseqno, self.iseqno, kind, subclass, elements
+            self.number, self.remote_number, timestamp, self.oseqno, self.iseqno, kind, subclass, elements
         )
 
     def end(self, now: int, subclass: Iax, elements: Elements = ()) -> None:
-        """Sends the HANGUP or REJECT that ends the call; only the first one counts."""
+        """Sends the HANGUP or REJECT that ends the call; further ones are ignored."""
         if self.ended_at is None:
-            if self.remote_number == 0:  # a NEW of which nothing was heard must not set up the call later on
+            if self.remote_number == 0:  # a retransmitted NEW could otherwise still set up the call
                 self.unacked.clear()
             self.send(now, FrameType.IAX, subclass, elements)
             self.ended_at = now
 
     def reply(self, frame: Frame, subclass: Iax) -> None:
-        """Sends a frame that takes no number and bears the time of the one that it replies to."""
+        """Sends an unnumbered frame with the timestamp of the frame that it replies to."""
         self.outbox.append(
             Frame(
                 self.number,
@@ -77,7 +79,7 @@
     # Receiving
 
     def receive(self, now: int, frame: Frame) -> Frame | None:
-        """The frame, if it is the next in order and has something to say to the call's owner."""
+        """Processes a received frame; returns it if it is the next in order and is meant for the listener."""
         self.heard_at = now
         if self.remote_number == 0:
             self.remote_number = frame.source
@@ -90,11 +92,11 @@
         if not frame.is_sequenced:
             return frame if frame.is_iax(Iax.INVAL) else None
         ahead = (frame.oseqno - self.iseqno) & 0xFF
-        if ahead >= 0x80:  # a repeat: our acknowledgement was lost
+        if ahead >= 0x80:  # a retransmission: the ACK was lost
             self.reply(frame, Iax.ACK)
             return None
         if ahead:
-            self.reply(frame, Iax.VNAK)  # an earlier one was lost: sent anew from there
+            self.reply(frame, Iax.VNAK)  # an earlier frame was lost: requests retransmission from there
             return None
         self.iseqno = (self.iseqno + 1) & 0xFF
         if frame.is_iax(Iax.PING, Iax.LAGRQ):
@@ -109,15 +111,15 @@
         return None if frame.is_iax(Iax.PONG, Iax.LAGRP) else frame
 
     def process_ack(self, now: int, iseqno: int) -> None:
-        """Everything before `iseqno` has arrived at the other side."""
+        """The remote side has received every frame before `iseqno`."""
         while self.unacked and 0 < ((iseqno - self.unacked[0].oseqno) & 0xFF) < 0x80:
             del self.unacked[0]
             self.retransmits, self.retransmit_at = 0, now + FIRST_RETRANSMIT_US
 
-    # Time
+    # Timers
 
     def run_timers(self, now: int) -> bool:
-        """Sends again what is due; False once the other side is taken for dead."""
+        """Sends due retransmissions and PINGs; False once the remote side is taken to be unresponsive."""
         if self.unacked and now >= self.retransmit_at:
             if self.retransmits == MAX_RETRANSMITS:
                 self.unacked.clear()
--- a/rowanmast/lab/__init__.py
+++ b/rowanmast/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Toy switches, a toy change log and toy stations on loopback, to try and to measure whole routers with."""
+"""Simulated switches, change log and stations on loopback, to try out and measure whole routers."""
--- a/rowanmast/lab/demo.py
+++ b/rowanmast/lab/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: one router on loopback, with toy switches and a toy station, and its calls' ends."""
+"""The demonstration: one router on loopback with simulated switches and one station."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 WAIT_S = 1.5
 PROGRESS_INTERVAL_S = 0.25
 OWN_EXCHANGE = 0  # the number of the router's own switch
-MAX_SETTLE_S = 8.0  # at most, for the calls that still stand at the end
+MAX_SETTLE_S = 8.0  # for calls that still stand when the last one has been offered
 
 
 @dataclass(frozen=True, slots=True)
 class DemoPlan:
-    """What to show: a town of `switches` toys, `rate` calls a second in the mean, for `seconds`."""
+    """Parameters of the demonstration; `rate` is the mean number of calls a second."""
 
     seconds: float = 5.0
     rate: float = 60.0
@@ -42,12 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DemoResult:
+    """Outcomes and delays of the demonstration's calls."""
+
     counts: StationCounts
     tandem_calls: int
-    by_switch: list[tuple[str, int, int, int]]  # name, circuits, calls taken, calls passed on
+    by_switch: list[tuple[str, int, int, int]]  # name, circuits, calls accepted, calls passed on
 
     def percentile_ms(self, fraction: float) -> float:
-        """The set-up delay that this share of the calls that stood stayed under, in milliseconds."""
+        """The percentile of the set-up delay over the calls that stood, in milliseconds; 0 without calls."""
         delays = sorted(self.counts.delays)
         if not delays:
             return 0.0
@@ -58,7 +60,7 @@
 
 
 def settings_document() -> dict[str, Any]:
-    """Settings of a site like a small one of ours, in the platform's form."""
+    """Settings of a small site, in the platform's form."""
     second = 1_000_000_000
     return {
         "balancers": 1,
@@ -106,7 +108,7 @@
 
 
 def config_document(listen: tuple[str, int], changelog: tuple[str, int], seed: int) -> dict[str, Any]:
-    """A configuration as the platform would hand it over, for a router of switch 0."""
+    """A configuration in the platform's form, for the router of switch 0."""
     return {
         "name": "demo",
         "listen": "{}:{}".format(*listen),
@@ -119,7 +121,7 @@
 
 
 async def free_address() -> tuple[str, int]:
-    """An address of loopback that is free now."""
+    """Returns a currently free loopback address."""
     server = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
     address: tuple[str, int] = server.sockets[0].getsockname()[:2]
     server.close()
@@ -128,35 +130,35 @@
 
 
 async def run_demo(plan: DemoPlan, progress: Callable[[float, StationCounts], None]) -> DemoResult:
-    """Runs the town; `progress` hears the time past and the counts so far, some times a second."""
+    """Runs the demonstration, calling `progress` every PROGRESS_INTERVAL_S with the time and the counts."""
     loop = asyncio.get_running_loop()
     random = Random(plan.seed)
     switches = [
         SimulatedSwitch(
             f"toy-{number}",
             number,
-            circuits=plan.circuits if number % 2 else plan.circuits // 2,  # some groups are short
+            circuits=plan.circuits if number % 2 else plan.circuits // 2,  # small groups overflow
             hold_s=plan.hold_s,
             seed=plan.seed,
         )
         for number in range(1, plan.switches + 1)
     ]
-    changes = SimulatedChangeLog()
-    await changes.start()
+    change_log = SimulatedChangeLog()
+    await change_log.start()
     for switch in switches:
         await switch.start()
         switch.switches = {other.number: other for other in switches}
-    changes.add(True, *map(host_entry, switches))
+    change_log.add(True, *map(host_entry, switches))
     listen = await free_address()
     router = Daemon(
-        check_config(config_document(listen, changes.address, plan.seed), Reader()), None, Reader(), loop
+        check_config(config_document(listen, change_log.address, plan.seed), Reader()), None, Reader(), loop
     )
     running = loop.create_task(router.run())
     try:
         await asyncio.wait_for(router.ready.wait(), 5)
         await router.wait_until(lambda: len(router.listed_links) == len(switches), loop.time() + 2)
         _, station = await loop.create_connection(lambda: SimulatedStation(CALL_CLASS, WAIT_S), *listen)
-        begun = loop.time()
+        start = loop.time()
         numbers = [switch.number for switch in switches]
         offering = loop.create_task(
             offer_at_random_times(
@@ -168,7 +170,7 @@
             )
         )
         while not offering.done():
-            progress(loop.time() - begun, station.counts)
+            progress(loop.time() - start, station.counts)
             await asyncio.wait([offering], timeout=PROGRESS_INTERVAL_S)
         await offering
         counts = station.counts
@@ -179,7 +181,7 @@
     finally:
         router.stop.set()
         await running
-        changes.stop()
+        change_log.stop()
         for switch in switches:
             switch.stop()
     by_switch = [(one.name, one.circuits, one.counts.accepted, one.counts.tandem) for one in switches]
--- a/rowanmast/lab/simulated.py
+++ b/rowanmast/lab/simulated.py
@@ -1,8 +1,8 @@
-"""A town on loopback: toy switches that speak JSON lines, their change log, and stations that speak SIP.
+"""A simulated network on loopback: switches that speak JSON lines, their change log, and SIP stations.
 
-They stand in for the platform's, after its protocol's words, and share the router's codecs, not its
-decisions. A switch has a processor that takes set-ups in turn, circuits towards the router, and calls that it
-holds for a while; one that gets a call for another switch passes it on there, as a tandem does.
+They replace the platform's parts and follow its protocol. They share the router's codecs but none of its
+decisions. A switch processes set-ups one after another, has a limited group of circuits to the router and
+holds each call for a random time. It passes a call for another switch on to that one, as a tandem.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 
 CAUSE_NO_CIRCUIT = 34
 LOAD_REPORT_DELAY_S = 0.05
-DEST_PREFIX = "dest="  # a station names the destination in its description, as JSON lines carry no route
+DEST_PREFIX = "dest="  # stations put the destination into the description, as JSON lines carry no route
 
 
 @dataclass(slots=True)
 class SwitchCall:
-    """A call in work or standing at a switch."""
+    """A call at a switch, from its set-up to its end."""
 
     connection: SwitchConnection
-    tandem: SimulatedSwitch | None  # it came through
+    tandem: SimulatedSwitch | None  # the switch that passed the call on, if any
     stands: bool = False
     timer: asyncio.TimerHandle | None = None
 
 
 @dataclass
 class SwitchCounts:
-    """What a switch has seen."""
+    """Counters of one switch."""
 
     accepted: int = 0
     tandem: int = 0
@@ -46,7 +46,10 @@
 
 
 class SimulatedSwitch:
-    """A switch: `work_s` of processor time a set-up, `circuits` to the router, calls of `hold_s`."""
+    """A switch with `circuits` to the router.
+
+    Each set-up takes `processing_s` of its processor; calls last `hold_s` on average.
+    """
 
     def __init__(
         self,
@@ -65,7 +68,7 @@
         self.hold_s = hold_s
         self.random = Random(seed * 1009 + number)
         self.calls: dict[str, SwitchCall] = {}
-        self.circuits_in_use = 0  # circuits of the group to the router
+        self.circuits_in_use = 0  # of the group to the router
         self.busy_until = 0.0
         self.connections: list[SwitchConnection] = []
         self.switches: dict[int, SimulatedSwitch] = {}
@@ -82,8 +85,8 @@
     def stop(self) -> None:
         if self.server is not None:
             self.server.close()
-        for side in self.connections:
-            side.transport.abort()
+        for connection in self.connections:
+            connection.transport.abort()
 
     def load_report(self) -> str:
         now = asyncio.get_running_loop().time()
@@ -91,7 +94,7 @@
         return f"x0:{self.circuits - self.circuits_in_use};x1:{self.circuits};queue:{queue:.0f}"
 
     def schedule_load_report(self) -> None:
-        """Tells of the group's free circuits soon: changes within `TELL_S` go out as one."""
+        """Reports the free circuits after LOAD_REPORT_DELAY_S, so that changes in between share a message."""
         if self.load_report_timer is None:
             self.load_report_timer = asyncio.get_running_loop().call_later(
                 LOAD_REPORT_DELAY_S, self.send_load_report
@@ -100,56 +103,60 @@
     def send_load_report(self) -> None:
         self.load_report_timer = None
         line = jsonlines.encode("status", "", {"load": self.load_report()})
-        for side in self.connections:
-            side.write(line)
+        for connection in self.connections:
+            connection.write(line)
 
-    def set_up_received(self, side: SwitchConnection, line: jsonlines.Line) -> None:
+    def set_up_received(self, connection: SwitchConnection, line: jsonlines.Line) -> None:
+        """Accepts a set-up or passes it on; refuses it if no circuit to the router is free."""
         if self.circuits_in_use >= self.circuits:
-            side.send_close(line.sid, CAUSE_NO_CIRCUIT, "all_trunks_busy", self.load_report())
+            connection.send_close(line.sid, CAUSE_NO_CIRCUIT, "all_trunks_busy", self.load_report())
             return
         self.circuits_in_use += 1
         self.schedule_load_report()
-        there = self.switches.get(parse_destination(line.text), self)
-        if there is not self:
+        target = self.switches.get(parse_destination(line.text), self)
+        if target is not self:
             self.counts.tandem += 1
-        there.counts.accepted += 1
-        there.calls[line.sid] = SwitchCall(side, None if there is self else self)
-        wait = self.enqueue_set_up() + (there.enqueue_set_up() if there is not self else 0.0)
-        asyncio.get_running_loop().call_later(wait, there.stand, line.sid, line.text)
+        target.counts.accepted += 1
+        target.calls[line.sid] = SwitchCall(connection, None if target is self else self)
+        wait = self.enqueue_set_up() + (target.enqueue_set_up() if target is not self else 0.0)
+        asyncio.get_running_loop().call_later(wait, target.stand, line.sid, line.text)
 
     def enqueue_set_up(self) -> float:
-        """How long a set-up that comes now takes until it is through the processor, in seconds."""
+        """Queues a set-up at the processor; returns the seconds until it is processed."""
         now = asyncio.get_running_loop().time()
         self.busy_until = max(self.busy_until, now) + self.processing_s
         return self.busy_until - now
 
     def stand(self, call: str, text: str) -> None:
-        standing = self.calls.get(call)
-        if standing is None:
+        """Answers a set-up; the call then stands for a random time."""
+        switch_call = self.calls.get(call)
+        if switch_call is None:
             return
-        standing.stands = True
-        standing.connection.write(jsonlines.encode("ready", call, {"load": self.load_report()}, text=text))
+        switch_call.stands = True
+        switch_call.connection.write(jsonlines.encode("ready", call, {"load": self.load_report()}, text=text))
         hold = self.random.expovariate(1 / self.hold_s)
-        standing.timer = asyncio.get_running_loop().call_later(hold, self.end_call, call)
+        switch_call.timer = asyncio.get_running_loop().call_later(hold, self.end_call, call)
 
     def end_call(self, call: str) -> None:
-        standing = self.remove_call(call)
-        if standing is not None:
+        switch_call = self.remove_call(call)
+        if switch_call is not None:
             self.counts.ended += 1
-            standing.connection.send_close(call, NORMAL_CLEARING, "", (standing.tandem or self).load_report())
+            switch_call.connection.send_close(
+                call, NORMAL_CLEARING, "", (switch_call.tandem or self).load_report()
+            )
 
     def remove_call(self, call: str) -> SwitchCall | None:
-        standing = self.calls.pop(call, None)
-        if standing is not None:
-            if standing.timer is not None:
-                standing.timer.cancel()
-            gate = standing.tandem or self
-            gate.circuits_in_use -= 1
-            gate.schedule_load_report()
-        return standing
+        switch_call = self.calls.pop(call, None)
+        if switch_call is not None:
+            if switch_call.timer is not None:
+                switch_call.timer.cancel()
+            entry_switch = switch_call.tandem or self
+            entry_switch.circuits_in_use -= 1
+            entry_switch.schedule_load_report()
+        return switch_call
 
     def closed_by_router(self, call: str) -> None:
-        """The router has given up or released it; where it came through us, it is at another switch."""
+        """The router cancelled or released the call, which is at another switch if this one passed it on."""
         for switch in (self, *self.switches.values()):
             if call in switch.calls:
                 switch.remove_call(call)
@@ -157,12 +164,13 @@
 
 
 def parse_destination(text: str) -> int:
-    figures = text.partition(DEST_PREFIX)[2].split()
-    return int(figures[0]) if figures and figures[0].isdigit() else -1
+    """The destination in a description, or -1 if it names none."""
+    words = text.partition(DEST_PREFIX)[2].split()
+    return int(words[0]) if words and words[0].isdigit() else -1
 
 
 class SwitchConnection(asyncio.Protocol):
-    """One connection of a router to a toy switch."""
+    """One connection of a router to a simulated switch."""
 
     def __init__(self, switch: SimulatedSwitch) -> None:
         self.switch = switch
@@ -177,8 +185,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.switch.connections.remove(self)
         for switch in (self.switch, *self.switch.switches.values()):
-            for call, standing in list(switch.calls.items()):
-                if standing.connection is self and not standing.stands:
+            for call, switch_call in list(switch.calls.items()):
+                if switch_call.connection is self and not switch_call.stands:
                     switch.remove_call(call)
 
     def write(self, line: bytes) -> None:
@@ -200,7 +208,7 @@
 
 
 class SimulatedChangeLog:
-    """Tells of the switches over HTTP, as soon as there is something new."""
+    """Serves the change log over HTTP by long polling."""
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
@@ -216,18 +224,19 @@
     def stop(self) -> None:
         if self.server is not None:
             self.server.close()
-        for side in self.connections:
-            side.transport.abort()
+        for connection in self.connections:
+            connection.transport.abort()
 
     def add(self, whole: bool, *hosts: dict[str, Any]) -> None:
+        """Publishes entries of switches; `whole` if they replace the list of all switches."""
         seq = len(self.events) + 1
         self.events.append({"seq": seq, "fleet": {"seq": seq, "whole": whole, "hosts": list(hosts)}})
-        for side in self.connections:
-            side.respond(only_if_changed=True)
+        for connection in self.connections:
+            connection.respond(only_if_changed=True)
 
 
 def host_entry(switch: SimulatedSwitch, health: str = "ready", born_ms: int = 0) -> dict[str, Any]:
-    """A switch's entry in the change log; `born_ms` is the Unix millisecond of a late start, or 0."""
+    """A switch's entry in the change log; `born_ms` is the Unix time of a later start in ms, else 0."""
     return {
         "host": switch.name,
         "dial": "{}:{}".format(*switch.address),
@@ -241,10 +250,10 @@
 
 
 class ChangeLogConnection(asyncio.Protocol):
-    """One connection to the toy change log: one question after the other."""
+    """One connection to the change log, with one request at a time."""
 
-    def __init__(self, changes: SimulatedChangeLog) -> None:
-        self.change_log = changes
+    def __init__(self, change_log: SimulatedChangeLog) -> None:
+        self.change_log = change_log
         self.transport: asyncio.Transport
         self.since: int | None = None
         self.buffer = b""
@@ -266,39 +275,40 @@
             return
         self.buffer = rest
         query = head.split()[1].decode().partition("?")[2]
-        figures = dict(part.partition("=")[::2] for part in query.split("&"))
-        self.since = int(figures.get("since", 0))
-        wait = min(int(figures.get("timeout", 0)), 5000) / 1000
+        parameters = dict(part.partition("=")[::2] for part in query.split("&"))
+        self.since = int(parameters.get("since", 0))
+        wait = min(int(parameters.get("timeout", 0)), 5000) / 1000
         self.timer = asyncio.get_running_loop().call_later(wait, self.respond)
         self.respond(only_if_changed=True)
 
     def respond(self, only_if_changed: bool = False) -> None:
+        """Answers the pending request; with `only_if_changed`, only if there are events it has not seen."""
         if self.since is None or (only_if_changed and self.since >= len(self.change_log.events)):
             return
-        news = self.change_log.events[self.since :]
+        changes = self.change_log.events[self.since :]
         self.since = None
         if self.timer is not None:
             self.timer.cancel()
-        body = ujson.dumps({"seq": len(self.change_log.events), "results": news}).encode()
+        body = ujson.dumps({"seq": len(self.change_log.events), "results": changes}).encode()
         head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
         self.transport.write(head.encode() + body)
 
 
 @dataclass
 class StationCounts:
-    """What a station's calls came to; delays are seconds from offer to answer."""
+    """Outcomes of a station's calls; delays are seconds from offer to answer."""
 
     offered: int = 0
     stood: int = 0
     refused: int = 0
     failed: int = 0
-    unanswered: int = 0  # no answer before the station gave up
+    unanswered: int = 0  # no answer before the station's deadline
     released: int = 0
     delays: list[float] = field(default_factory=list)
 
 
 class SimulatedStation(asyncio.Protocol):
-    """A scanning station that speaks SIP: dials, waits for answers, acknowledges releases."""
+    """A calling station that speaks SIP: dials, waits for answers, acknowledges releases."""
 
     def __init__(self, klass: str, wait_s: float) -> None:
         self.klass = klass
@@ -316,6 +326,7 @@
             self.drop_unanswered(call)
 
     def dial(self, dest: int) -> None:
+        """Places a call, which counts as unanswered 50 ms after its deadline."""
         loop = asyncio.get_running_loop()
         call = secrets.token_hex(8)
         headers = (
@@ -351,7 +362,7 @@
                 self.answer_received(message)
 
     def answer_received(self, message: sip.Message) -> None:
-        begun, timer = self.unanswered.pop(message.call_id, (0.0, None))
+        offered_at, timer = self.unanswered.pop(message.call_id, (0.0, None))
         if timer is None:
             return
         timer.cancel()
@@ -359,7 +370,8 @@
         self.write(sip.encode(f"ACK sip:{message.call_id}@net SIP/2.0", head))
         if message.status == 200:
             self.counts.stood += 1
-            self.counts.delays.append(time.monotonic() - begun)  # uvloop's clock has milliseconds only
+            # Not the loop's clock: uvloop's only counts milliseconds.
+            self.counts.delays.append(time.monotonic() - offered_at)
         elif message.status in (480, 503):
             self.counts.refused += 1
         else:
@@ -369,14 +381,14 @@
 async def offer_at_random_times(
     rate: float, seconds: float, random: Random, offer: Callable[[], None], should_stop: Callable[[], bool]
 ) -> None:
-    """Calls `offer` at random times, `rate` a second on average, for `seconds` or until told to stop."""
+    """Calls `offer` as a Poisson process of `rate` per second, for `seconds` or until `should_stop()`."""
     loop = asyncio.get_running_loop()
-    begun = due = loop.time()
+    start = next_offer = loop.time()
     while not should_stop():
-        due += random.expovariate(rate)
-        if due - begun >= seconds:
-            await asyncio.sleep(max(begun + seconds - loop.time(), 0))
+        next_offer += random.expovariate(rate)
+        if next_offer - start >= seconds:
+            await asyncio.sleep(max(start + seconds - loop.time(), 0))
             return
-        if due > loop.time():
-            await asyncio.sleep(due - loop.time())
+        if next_offer > loop.time():
+            await asyncio.sleep(next_offer - loop.time())
         offer()
--- a/rowanmast/liveness/__init__.py
+++ b/rowanmast/liveness/__init__.py
@@ -1,1 +1,1 @@
-"""Whether the process of a switch is alive, and how long calls that stand on it may be believed."""
+"""Detects whether the process of a switch is alive, and when the calls that stand there must be given up."""
--- a/rowanmast/liveness/machine.py
+++ b/rowanmast/liveness/machine.py
@@ -1,13 +1,13 @@
-"""Leases of calls that stand at a switch, renewed by what is heard from its process. No I/O, no clock.
+"""Leases of the calls that stand at a switch, renewed by any data from its process. No I/O, no clock.
 
-A switch that has vanished gives no sign, and a new process may answer at its address. So each call belongs
-to an incarnation of the switch: one process, as far as connections prove that they lead to the same one.
-Whatever is heard from an incarnation renews the lease of all its calls. Where nothing comes by itself, the
-connections that carry calls are probed. A lease that runs out ends its calls: their callers have to know
-within 8 s of the end of a call whose switch can send no release (PROTOCOL, "The rules on sockets").
+A switch that has vanished closes no connection, and a new process may answer at its address. Each call
+therefore belongs to an incarnation of the switch: one process, as far as its connections are known to lead
+to the same one. Any data received from an incarnation renews the lease of all its calls. If it is silent,
+the connections that carry calls are probed. When a lease expires, its calls are ended: callers must be
+notified within 8 s of the end of a call whose switch can send no release (PROTOCOL, "The rules on sockets").
 
-Two connections lead to the same process where the older one is heard after the younger one came up, or where
-one of them brings the end of a call that was set up on the other. All times are microseconds.
+Two connections lead to the same process if data arrives on the older one after the younger one came up, or
+if one of them brings the end of a call that was set up on the other. All times are microseconds.
 """
 
 from __future__ import annotations
@@ -19,39 +19,30 @@
 PROBE_IDLE_US = 3_000_000  # silence of a process with calls after which one of its connections is probed
 CONNECTION_PROBE_IDLE_US = 4_500_000  # silence of a connection that carries calls after which it is probed
 PROBE_TIMEOUT_US = 1_000_000  # a connection that has not answered a probe by then is unresponsive
-LEASE_US = (
-    7_000_000  # since the last word of an incarnation; leaves 1 s of the protocol's 8 s to tell callers
-)
-REMOVED_PROBE_IDLE_US = 500_000  # the same as these, once discovery has removed the switch: silence is
-REMOVED_LEASE_US = 2_500_000  # believed sooner,
-REMOVED_GRACE_US = 1_000_000  # but it has this long to answer after the removal
-LOSS_DETECTION_US = (
-    5_000_000  # a lost connection was silent for no longer than this before it was known to be lost
-)
-MAX_DELIVERY_DELAY_US = (
-    1_000_000  # what is heard so long after a connection came up was sent after it came up
-)
-STALL_THRESHOLD_US = (
-    500_000  # a check that comes later than this was held up: what has arrived is read first,
-)
-STALL_RECHECK_US = 250_000  # and the check is made after this
-MIN_CHECK_INTERVAL_US = 10_000  # between two checks at least
-MAX_CHECK_INTERVAL_US = (
-    1_000_000  # between two checks at most: what happens in between may make an earlier one due
-)
+LEASE_US = 7_000_000  # since the last data from an incarnation; leaves 1 s of the 8 s to notify callers
+# Once discovery has removed the switch, silent connections are probed and calls are given up sooner.
+REMOVED_PROBE_IDLE_US = 500_000
+REMOVED_LEASE_US = 2_500_000
+REMOVED_GRACE_US = 1_000_000  # least time after the removal in which the switch may answer a probe
+LOSS_DETECTION_US = 5_000_000  # a connection's loss is detected at most this long after its last data
+MAX_DELIVERY_DELAY_US = 1_000_000  # data that arrives this long after an event was sent after it
+# A check that runs later than this was held up by the router itself. The data that has arrived meanwhile is
+# read first, and the check is made after STALL_RECHECK_US.
+STALL_THRESHOLD_US = 500_000
+STALL_RECHECK_US = 250_000
+MIN_CHECK_INTERVAL_US = 10_000
+MAX_CHECK_INTERVAL_US = 1_000_000  # events between two checks may call for an earlier one than was scheduled
 NEVER_US = 1 << 62
 
 
 @dataclass(slots=True, eq=False)
 class Incarnation:
-    """One process of the switch: the connections that lead to it and the calls that stand on it."""
+    """One process of the switch, with the connections that lead to it and the calls that stand there."""
 
-    heard_at: int
+    heard_at: int  # when data was last received from it
     connections: set[int] = field(default_factory=set)
-    calls: dict[str, int] = field(default_factory=dict)  # the connection on which each was set up
-    call_counts: Counter[int] = field(
-        default_factory=Counter
-    )  # how many calls were set up on each connection
+    calls: dict[str, int] = field(default_factory=dict)  # call id -> connection on which it was set up
+    call_counts: Counter[int] = field(default_factory=Counter)  # connection -> number of calls set up on it
 
     def add(self, call: str, connection: int) -> None:
         self.calls[call] = connection
@@ -70,31 +61,31 @@
 
 @dataclass(slots=True)
 class ConnectionState:
-    """An open connection: since when, when something last came on it, and a probe without an answer."""
+    """The state of an open connection."""
 
     opened_at: int
-    heard_at: int
+    heard_at: int  # when data was last received on it
     incarnation: Incarnation
-    probed_at: int | None = None
+    probed_at: int | None = None  # time of the unanswered probe, if there is one
 
 
 @dataclass(frozen=True, slots=True)
 class SendProbe:
-    """Ask for a sign of life on this connection."""
+    """Send a probe on this connection."""
 
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReplaceConnection:
-    """This connection answers no probe: nothing more should be sent on it, and another one opened."""
+    """This connection is unresponsive: send nothing more on it and open another one."""
 
     connection: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseExpired:
-    """These calls can't be believed to stand any more."""
+    """The lease of these calls has expired: they have to be ended."""
 
     calls: tuple[str, ...]
 
@@ -103,18 +94,18 @@
 
 
 class SwitchLiveness:
-    """The incarnations of one switch. Connections are named by numbers that are never used again."""
+    """The incarnations of one switch. Connections are identified by numbers that are never reused."""
 
     def __init__(self, may_probe: bool) -> None:
-        """Without probes, silence on an open connection proves nothing, and only lost ones end leases."""
+        """Without `may_probe`, silence on an open connection proves nothing: only lost ones end leases."""
         self.may_probe = may_probe
         self.removed_at: int | None = None  # by discovery
         self.connections: dict[int, ConnectionState] = {}
         self.incarnations: list[Incarnation] = []  # those with connections or calls
         self.by_call: dict[str, Incarnation] = {}
-        self.next_check_at: int | None = None  # when `check` is next to be asked
+        self.next_check_at: int | None = None  # when `check` has to be called next
 
-    # What happens
+    # Events
 
     def connection_opened(self, now: int, connection: int) -> None:
         incarnation = Incarnation(now, {connection})
@@ -131,7 +122,7 @@
             self.merge_younger(now, state)
 
     def connection_lost(self, now: int, connection: int) -> None:
-        """The connection is closed, from whichever side. Calls stay until their lease runs out."""
+        """The connection was closed by either side. Calls stand until their lease expires."""
         state = self.connections.pop(connection, None)
         if state is None:
             return
@@ -142,34 +133,37 @@
             self.remove_if_empty(incarnation)
 
     def call_answered(self, call: str, connection: int) -> None:
-        """The switch has answered the set-up of a call on this connection."""
+        """The switch answered the set-up of a call on this connection, so that the call stands."""
         state = self.connections.get(connection)
         if state is not None and call not in self.by_call:
             state.incarnation.add(call, connection)
             self.by_call[call] = state.incarnation
 
     def call_released(self, call: str, connection: int | None = None) -> bool:
-        """The call is over, by the word on `connection` if that is given. False if it did not stand."""
+        """The call has ended; `connection` is the one that brought the release, if the switch released it.
+
+        Returns False if the call did not stand here.
+        """
         incarnation = self.by_call.pop(call, None)
         if incarnation is None:
             return False
         incarnation.discard(call)
-        teller = None if connection is None else self.connections.get(connection)
-        if teller is not None and teller.incarnation is not incarnation:
-            self.merge(incarnation, teller.incarnation)
+        source = None if connection is None else self.connections.get(connection)
+        if source is not None and source.incarnation is not incarnation:
+            self.merge(incarnation, source.incarnation)
         self.remove_if_empty(incarnation)
         return True
 
     def switch_removed(self, now: int) -> None:
-        """Discovery has removed the switch: silence is believed sooner."""
+        """Discovery has removed the switch: shorter probe intervals and leases apply."""
         self.removed_at = now
 
     def switch_restored(self) -> None:
-        """Discovery lists it again."""
+        """Discovery lists the switch again."""
         self.removed_at = None
 
     def end_all_calls(self) -> tuple[str, ...]:
-        """Ends every lease; the calls that stood."""
+        """Ends all leases and returns the calls that stood."""
         calls = tuple(self.by_call)
         for incarnation in list(self.incarnations):
             incarnation.clear()
@@ -177,72 +171,73 @@
         self.by_call.clear()
         return calls
 
-    # What is known
+    # Queries
 
     def has_calls(self) -> bool:
         return bool(self.by_call)
 
     def carries_calls(self, connection: int) -> bool:
-        """Whether the ends of calls may come on this connection."""
+        """Whether releases of calls may arrive on this connection."""
         state = self.connections.get(connection)
         return state is not None and bool(state.incarnation.calls)
 
     def is_sole_connection(self, connection: int) -> bool:
-        """Whether calls stand on the process behind this connection, and no other is known to lead to it."""
+        """Whether this is the only connection known to lead to its process, and calls stand there."""
         state = self.connections.get(connection)
         return state is not None and bool(state.incarnation.calls) and len(state.incarnation.connections) == 1
 
     def all_heard_since(self, moment: int) -> bool:
-        """Whether every process on which calls stand has been heard since then."""
+        """Whether data has been received from every process with standing calls since then."""
         return all(one.heard_at >= moment for one in self.incarnations if one.calls)
 
-    # What to do
+    # Checks
 
     def check(self, now: int) -> list[LivenessAction]:
-        """What is due. `due` says when to ask again; None if no call stands."""
+        """Returns the actions that are due. `next_check_at` is the time of the next check, if calls stand."""
         stalled = self.next_check_at is not None and now > self.next_check_at + STALL_THRESHOLD_US
-        orders: list[LivenessAction] = []
+        actions: list[LivenessAction] = []
         for incarnation in [one for one in self.incarnations if one.calls]:
             if stalled:
                 self.restart_probes(now, incarnation)
             elif now >= self.lease_expires_at(incarnation):
-                orders.append(LeaseExpired(self.expire_lease(incarnation)))
+                actions.append(LeaseExpired(self.expire_lease(incarnation)))
             elif self.may_probe:
-                orders += self.probe_incarnation(now, incarnation)
+                actions += self.probe_incarnation(now, incarnation)
         self.schedule_check(now, STALL_RECHECK_US if stalled else MIN_CHECK_INTERVAL_US)
-        return orders
+        return actions
 
     def probe_all(self, now: int) -> list[LivenessAction]:
-        """Probes at once every connection that carries calls."""
-        orders: list[LivenessAction] = []
+        """Probes every connection that carries calls, at once."""
+        actions: list[LivenessAction] = []
         if self.may_probe:
             for connection in self.call_connections():
                 self.connections[connection].probed_at = now
-                orders.append(SendProbe(connection))
+                actions.append(SendProbe(connection))
         self.schedule_check(now, 0)
-        return orders
+        return actions
 
     def schedule_check(self, now: int, at_least: int) -> None:
-        """Sets `due`, no sooner than `at_least` from now."""
-        moments = [self.next_event_at(one) for one in self.incarnations if one.calls]
+        """Sets the time of the next check, no sooner than `at_least` from now."""
+        times = [self.next_event_at(one) for one in self.incarnations if one.calls]
         latest = now + self.probe_interval(MAX_CHECK_INTERVAL_US)
-        self.next_check_at = max(min(*moments, latest), now + at_least) if moments else None
+        self.next_check_at = max(min(*times, latest), now + at_least) if times else None
 
     def probe_interval(self, regular: int) -> int:
-        """An interval of probes, which is shorter for a removed switch."""
+        """The interval to use: `regular`, or a shorter one for a removed switch."""
         return regular if self.removed_at is None else REMOVED_PROBE_IDLE_US
 
     def next_event_at(self, incarnation: Incarnation) -> int:
-        moment = self.lease_expires_at(incarnation)
+        """When the lease expires, a probe times out or a probe has to be sent, whichever is first."""
+        earliest = self.lease_expires_at(incarnation)
         if not self.may_probe or not incarnation.connections:
-            return moment
+            return earliest
         states = [self.connections[connection] for connection in self.call_connections_of(incarnation)]
-        answers = [state.probed_at + PROBE_TIMEOUT_US for state in states if state.probed_at is not None]
-        if not answers:
-            moment = min(moment, incarnation.heard_at + self.probe_interval(PROBE_IDLE_US))
-        silences = [state.heard_at for state in states if state.probed_at is None]
-        probes = [heard_at + self.probe_interval(CONNECTION_PROBE_IDLE_US) for heard_at in silences]
-        return min(moment, *answers, *probes)
+        timeouts = [state.probed_at + PROBE_TIMEOUT_US for state in states if state.probed_at is not None]
+        if not timeouts:
+            earliest = min(earliest, incarnation.heard_at + self.probe_interval(PROBE_IDLE_US))
+        last_heard = [state.heard_at for state in states if state.probed_at is None]
+        probes = [heard_at + self.probe_interval(CONNECTION_PROBE_IDLE_US) for heard_at in last_heard]
+        return min(earliest, *timeouts, *probes)
 
     def lease_expires_at(self, incarnation: Incarnation) -> int:
         if incarnation.connections and not self.may_probe:
@@ -259,33 +254,40 @@
                 yield from self.call_connections_of(incarnation)
 
     def call_connections_of(self, incarnation: Incarnation) -> Iterable[int]:
-        """The connections on which ends of calls may come: all, where a call's own connection is lost."""
-        carrying = incarnation.call_counts.keys()
-        return carrying if carrying <= incarnation.connections else incarnation.connections
+        """The connections on which calls were set up, or all connections if one of these is lost.
+
+        Releases of calls may arrive there.
+        """
+        connections = incarnation.call_counts.keys()
+        return connections if connections <= incarnation.connections else incarnation.connections
 
     def probe_incarnation(self, now: int, incarnation: Incarnation) -> list[LivenessAction]:
-        """Asks one connection first, as probes are priced; all of them once one has not answered."""
-        carrying = sorted(
+        """Probes one connection first, as probes have a cost, and the others once it has not answered.
+
+        A connection that is silent for longer is probed by itself.
+        """
+        candidates = sorted(
             self.call_connections_of(incarnation), key=lambda one: -self.connections[one].heard_at
         )
-        asked = [one for one in carrying if self.connections[one].probed_at is not None]
-        unanswered = [
-            one for one in asked if now >= (self.connections[one].probed_at or 0) + PROBE_TIMEOUT_US
+        probed = [one for one in candidates if self.connections[one].probed_at is not None]
+        unresponsive = [
+            one for one in probed if now >= (self.connections[one].probed_at or 0) + PROBE_TIMEOUT_US
         ]
-        silent = [one for one in carrying if one not in asked and self.is_silent(now, one)]
+        to_probe = [one for one in candidates if one not in probed and self.is_silent(now, one)]
         if now >= incarnation.heard_at + self.probe_interval(PROBE_IDLE_US):
-            if unanswered:
-                silent = [one for one in carrying if one not in asked]
-            elif not asked:
-                silent = silent or carrying[:1]
-        for connection in (*unanswered, *silent):
-            self.connections[connection].probed_at = now  # one that has to stay unanswered is judged again
-        return [*map(ReplaceConnection, unanswered), *map(SendProbe, silent)]
+            if unresponsive:
+                to_probe = [one for one in candidates if one not in probed]
+            elif not probed:
+                to_probe = to_probe or candidates[:1]
+        for connection in (*unresponsive, *to_probe):
+            self.connections[connection].probed_at = now  # an unresponsive one that is kept is reported again
+        return [*map(ReplaceConnection, unresponsive), *map(SendProbe, to_probe)]
 
     def is_silent(self, now: int, connection: int) -> bool:
         return now >= self.connections[connection].heard_at + self.probe_interval(CONNECTION_PROBE_IDLE_US)
 
     def restart_probes(self, now: int, incarnation: Incarnation) -> None:
+        """Restarts the time-outs of pending probes after a stall."""
         for connection in incarnation.connections:
             state = self.connections[connection]
             if state.probed_at is not None:
@@ -299,27 +301,30 @@
         self.remove_if_empty(incarnation)
         return calls
 
-    # Which connections lead to the same process
+    # Connections that lead to the same process
+
+    def merge_younger(self, now: int, receiver: ConnectionState) -> None:
+        """Merges in the incarnations of younger connections that came up before the data received was sent.
 
-    def merge_younger(self, now: int, heard: ConnectionState) -> None:
-        """What is heard now was sent after these came up, so its process was the one that accepted them."""
+        The process that sent the data on `receiver` must have accepted these connections.
+        """
         for state in list(self.connections.values()):
-            accepted = heard.opened_at <= state.opened_at <= now - MAX_DELIVERY_DELAY_US
-            if accepted and state.incarnation is not heard.incarnation:
-                self.merge(state.incarnation, heard.incarnation)
-
-    def merge(self, gone: Incarnation, into: Incarnation) -> None:
-        for connection in gone.connections:
-            self.connections[connection].incarnation = into
-        for call in gone.calls:
-            self.by_call[call] = into
-        into.connections |= gone.connections
-        into.calls |= gone.calls
-        into.call_counts += gone.call_counts
-        into.heard_at = max(into.heard_at, gone.heard_at)
-        gone.connections.clear()
-        gone.clear()
-        self.remove_if_empty(gone)
+            same_process = receiver.opened_at <= state.opened_at <= now - MAX_DELIVERY_DELAY_US
+            if same_process and state.incarnation is not receiver.incarnation:
+                self.merge(state.incarnation, receiver.incarnation)
+
+    def merge(self, source: Incarnation, target: Incarnation) -> None:
+        for connection in source.connections:
+            self.connections[connection].incarnation = target
+        for call in source.calls:
+            self.by_call[call] = target
+        target.connections |= source.connections
+        target.calls |= source.calls
+        target.call_counts += source.call_counts
+        target.heard_at = max(target.heard_at, source.heard_at)
+        source.connections.clear()
+        source.clear()
+        self.remove_if_empty(source)
 
     def remove_if_empty(self, incarnation: Incarnation) -> None:
         if not incarnation.connections and not incarnation.calls and incarnation in self.incarnations:
--- a/rowanmast/middleware/__init__.py
+++ b/rowanmast/middleware/__init__.py
@@ -1,7 +1,7 @@
-"""Middleware for web applications: calls placed by the embedded router, and the admission gate.
+"""Middleware for web applications, based on the embedded router.
 
-RoutingMiddleware (ASGI) and WsgiRoutingMiddleware turn a request into a call and give the handler the call
-that stands. AdmissionMiddleware only admits or turns away, by the same decisions, and places no call.
+RoutingMiddleware (ASGI) and WsgiRoutingMiddleware place a call for a request and give its handler the
+standing call. AdmissionMiddleware (ASGI) places no call: it admits or refuses requests by the same decisions.
 """
 
 from rowanmast.middleware.admission import AdmissionMiddleware
--- a/rowanmast/middleware/admission.py
+++ b/rowanmast/middleware/admission.py
@@ -1,8 +1,8 @@
-"""ASGI middleware: the same decisions admit HTTP requests to an application, or turn them away.
+"""ASGI middleware that admits HTTP requests to an application by the router's admission control.
 
-To the decisions the application is a pool of second parties, the one there is; a request is a call to it,
-which stands when its response starts and is over when that ends. When responses start late, the gate
-throttles, and requests get 503 with Retry-After.
+The decision module sees the application as the only exchange, and a request as a call to it, which stands
+when its response starts and is over when the response ends. When responses start late, the module throttles,
+and refused requests get 503 with Retry-After.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 
 def settings_for(aim_s: float, deadline_s: float) -> api.Settings:
-    """Settings for one application whose responses should start within `aim_s`."""
-    kind = api.CallClass(
+    """Settings for one application whose responses should start within `aim_s` seconds."""
+    call_class = api.CallClass(
         objective_ns=int(aim_s * NS_PER_S),
         deadline_ns=int(deadline_s * NS_PER_S),
         worth=1.0,
         late_worth=0.0,
         width=1,
         mean_hold_ns=None,
-        idempotency=api.Idempotency.SAFE,  # an attempt is never repeated here
+        idempotency=api.Idempotency.SAFE,  # max_attempts is 1, so no attempt is repeated
         key_scope="all",
         dedup_window_ns=0,
         skilled_pools=(),
@@ -46,7 +46,7 @@
         own_exchange=-1,
         meshed=False,
         period_ns=1_000_000,
-        classes=(kind,),
+        classes=(call_class,),
         overall_weight=1.0,
         worst_window_weight=0.0,
         worst_class_weight=0.0,
@@ -56,9 +56,9 @@
         subscribe_within_ns=0,
         answer_grace_ns=0,
         drain_grace_ns=0,
-        cold_share=1.0,
+        initial_capacity_fraction=1.0,
         cold_ns=0,
-        collapse_load=1.0,
+        collapse_multiple=1.0,
         collapse_after_ns=0,
         release_guard_ns=0,
         retransmit_ns=0,
@@ -73,7 +73,13 @@
 
 
 class AdmissionMiddleware:
-    """Wraps an ASGI application; scopes other than HTTP pass through."""
+    """Admits HTTP requests to an ASGI application, or answers them 503 with Retry-After.
+
+    Responses should start within `aim_s` seconds; the decision module throttles requests when responses start
+    later than a quarter of that. `deadline_s` is the deadline of a request, in seconds, for the module;
+    the application is not interrupted by it. `seed` seeds the random numbers, and `clock` returns monotonic
+    nanoseconds. Scopes other than HTTP pass through.
+    """
 
     def __init__(
         self,
@@ -88,49 +94,49 @@
         self.deadline_ns = int(deadline_s * NS_PER_S)
         self.call_ids = itertools.count()
         self.agent = CallAgent(settings_for(aim_s, deadline_s), seed)
-        only = api.ListEntry(APP_EXCHANGE, 0, None, api.ExchangeState.UP, None)
-        self.agent.handle(clock(), api.ExchangeList(api.ListKind.FULL, (only,)))
+        entry = api.ListEntry(APP_EXCHANGE, 0, None, api.ExchangeState.UP, None)
+        self.agent.handle(clock(), api.ExchangeList(api.ListKind.FULL, (entry,)))
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             await self.app(scope, receive, send)
             return
-        name = str(next(self.call_ids))
-        begun = self.clock()
-        (action,) = self.agent.handle(begun, self.make_call(name))
+        call_id = str(next(self.call_ids))
+        started_ns = self.clock()
+        (action,) = self.agent.handle(started_ns, self.make_call(call_id))
         if not isinstance(action, api.SetUp):
-            wait = action.retry_after_ns if isinstance(action, api.RefuseCall) else 0
-            await send_busy(send, max(math.ceil(wait / NS_PER_S), 1))
+            retry_after_ns = action.retry_after_ns if isinstance(action, api.RefuseCall) else 0
+            await send_busy(send, max(math.ceil(retry_after_ns / NS_PER_S), 1))
             return
-        outcome = api.Outcome.CUT  # unless the response comes to its end
+        outcome = api.Outcome.CUT  # until the response is complete
         stands = False
 
-        async def watched(message: Message) -> None:
+        async def observed_send(message: Message) -> None:
             nonlocal outcome, stands
             if message["type"] == "http.response.start":
                 stands = True
-                now = self.clock()
-                self.agent.handle(now, api.CallAnswered(name, 0, APP_EXCHANGE, now - begun))
+                now_ns = self.clock()
+                self.agent.handle(now_ns, api.CallAnswered(call_id, 0, APP_EXCHANGE, now_ns - started_ns))
             elif message["type"] == "http.response.body" and not message.get("more_body", False):
                 outcome = api.Outcome.DONE
             await send(message)
 
         try:
-            await self.app(scope, receive, watched)
+            await self.app(scope, receive, observed_send)
         finally:
-            now = self.clock()
+            now_ns = self.clock()
             if not stands:
-                self.agent.handle(now, api.CallerHungUp(name))
+                self.agent.handle(now_ns, api.CallerHungUp(call_id))
             self.agent.handle(
-                now,
+                now_ns,
                 api.AttemptEnded(
-                    name, 0, APP_EXCHANGE, outcome, None, None, True, now - begun, api.LoadReport()
+                    call_id, 0, APP_EXCHANGE, outcome, None, None, True, now_ns - started_ns, api.LoadReport()
                 ),
             )
 
-    def make_call(self, name: str) -> api.Call:
+    def make_call(self, call_id: str) -> api.Call:
         return api.Call(
-            call=name,
+            call=call_id,
             klass=0,
             key="",
             tenant=None,
@@ -144,9 +150,9 @@
         )
 
 
-async def send_busy(send: Send, wait_s: int) -> None:
+async def send_busy(send: Send, retry_after_s: int) -> None:
     headers = [
-        (b"retry-after", str(wait_s).encode()),
+        (b"retry-after", str(retry_after_s).encode()),
         (b"content-type", b"text/plain; charset=utf-8"),
     ]
     await send({"type": "http.response.start", "status": 503, "headers": headers})
--- a/rowanmast/middleware/asgi.py
+++ b/rowanmast/middleware/asgi.py
@@ -1,4 +1,4 @@
-"""ASGI middleware (Starlette, FastAPI): a request becomes a call, and its handler gets the standing call."""
+"""ASGI middleware (Starlette, FastAPI) that places a call for a request and passes it to the handler."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     response_for_request_error,
 )
 
-MAX_BUFFERED_BYTES = 256 * 1024  # bytes of a request's body that are kept while its call is being set up
-CALL_KEY = "rowanmast.call"  # in the scope; in Starlette also request.state.call
+MAX_BUFFERED_BYTES = 256 * 1024  # of a request's body while its call is being set up
+CALL_KEY = "rowanmast.call"  # in the scope; Starlette handlers find the call in request.state.call too
 
 Scope = MutableMapping[str, Any]
 Message = MutableMapping[str, Any]
@@ -36,11 +36,16 @@
 
 
 class RoutingMiddleware:
-    """Places a call for each HTTP request that asks for one, and releases it when the request's end comes.
+    """Places a call for each HTTP request that asks for one, and releases it when the application returns.
 
-    `describe` makes the call of a scope; None lets the request through without one, and RequestError is
-    answered 400. Left out, the headers say it (`from_headers`), with `klass` and `wait_s` (seconds) where
-    they name none.
+    The handler finds the standing call under `rowanmast.call` in the scope and in Starlette's
+    `request.state.call`. The call is also released when the client disconnects while the application is
+    receiving; a client that disconnects during the set-up cancels it.
+
+    `describe` maps a scope to a call. If it returns None, the request passes through without a call; if it
+    raises RequestError, the response is 400. By default the call is read from the headers (`from_headers`),
+    with `klass` and `wait_s` (seconds) for headers that are absent. A refused call and a closed router are
+    answered 503, a call without an answer in time 504, other failures 400 or 500.
     """
 
     def __init__(
@@ -71,23 +76,26 @@
         except RouterClosed:
             await send_response(send, response_for_closed_router())
             return
-        early = RequestBuffer(receive)
+        buffer = RequestBuffer(receive)
         try:
-            outcome = await early.wait_for_outcome(ticket.outcome())
+            outcome = await buffer.wait_for_outcome(ticket.outcome())
             if isinstance(outcome, Stands):
                 with outcome.call as call:
-                    early.call = call
+                    buffer.call = call
                     scope[CALL_KEY] = call
                     scope.setdefault("state", {})["call"] = call
-                    await self.app(scope, early.receive, send)
-            elif outcome is not None:  # None: the client has gone, and the call was taken back
+                    await self.app(scope, buffer.receive, send)
+            elif outcome is not None:  # None: the client has disconnected, and the call was cancelled
                 await send_response(send, response_for_outcome(outcome))
         finally:
-            early.close()
+            buffer.close()
 
 
 class RequestBuffer:
-    """Hears the client while its call is being set up, keeps what comes, hands it on to the application."""
+    """Receives from the client while its call is being set up, and replays that to the application.
+
+    Receiving during the set-up is what detects a client that disconnects.
+    """
 
     def __init__(self, receive: Receive) -> None:
         self.upstream_receive = receive
@@ -98,25 +106,25 @@
         self.call: StandingCall | None = None
 
     async def wait_for_outcome(self, outcome: Awaitable[Outcome]) -> Outcome | None:
-        """The outcome; None if the client went away first, which cancels it."""
-        placing: asyncio.Future[Outcome] = asyncio.ensure_future(outcome)
+        """Waits for the outcome; None if the client disconnects first, which cancels the call."""
+        pending_outcome: asyncio.Future[Outcome] = asyncio.ensure_future(outcome)
         try:
-            while not placing.done() and not self.disconnected:
+            while not pending_outcome.done() and not self.disconnected:
                 if self.pending is None and self.buffered_bytes < MAX_BUFFERED_BYTES:
                     self.pending = asyncio.ensure_future(self.upstream_receive())
-                waits: set[asyncio.Future[Any]] = {placing}
+                awaited: set[asyncio.Future[Any]] = {pending_outcome}
                 if self.pending is not None:
-                    waits.add(self.pending)
-                await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+                    awaited.add(self.pending)
+                await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
                 if self.pending is not None and self.pending.done():
                     self.buffer_pending()
         except BaseException:
-            placing.cancel()
+            pending_outcome.cancel()
             raise
-        if placing.done():
-            return placing.result()
-        placing.cancel()
-        await asyncio.wait({placing})
+        if pending_outcome.done():
+            return pending_outcome.result()
+        pending_outcome.cancel()
+        await asyncio.wait({pending_outcome})
         return None
 
     def buffer_pending(self) -> None:
@@ -132,7 +140,7 @@
             self.pending.cancel()
 
     async def receive(self) -> Message:
-        """What the application calls: first what was kept, then what comes."""
+        """The application's `receive`: first the buffered messages, then new ones."""
         if self.buffered:
             return self.buffered.pop(0)
         if self.pending is not None:
@@ -141,16 +149,16 @@
         else:
             message = await self.upstream_receive()
         if message["type"] == "http.disconnect" and self.call is not None:
-            self.call.release()  # nobody is there to use it
+            self.call.release()  # the client no longer needs it
         return message
 
 
 def headers_of(scope: Scope) -> Headers:
-    """The headers by name; of one that comes twice, the last."""
+    """The headers by lower-case name; of a repeated header, the last."""
     return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in scope["headers"]}
 
 
-async def send_response(send: Send, answer: ErrorResponse) -> None:
-    headers = [(name.encode(), value.encode()) for name, value in answer.headers()]
-    await send({"type": "http.response.start", "status": answer.status, "headers": headers})
-    await send({"type": "http.response.body", "body": answer.body()})
+async def send_response(send: Send, response: ErrorResponse) -> None:
+    headers = [(name.encode(), value.encode()) for name, value in response.headers()]
+    await send({"type": "http.response.start", "status": response.status, "headers": headers})
+    await send({"type": "http.response.body", "body": response.body()})
--- a/rowanmast/middleware/mapping.py
+++ b/rowanmast/middleware/mapping.py
@@ -1,4 +1,4 @@
-"""How a web request becomes a call, and an outcome a response. Without I/O; both middlewares share it."""
+"""Maps HTTP headers to calls and outcomes to HTTP responses, for both routing middlewares. Has no I/O."""
 
 from __future__ import annotations
 
@@ -12,25 +12,27 @@
 CLASS_HEADER, NUMBER_HEADER, DEST_HEADER = "x-call-class", "x-call-number", "x-call-dest"
 WAIT_MS_HEADER, VIA_HEADER, WIDTH_HEADER = "x-call-wait-ms", "x-call-via", "x-call-width"
 REDIAL_HEADER, AGAIN_HEADER, TEXT_HEADER = "x-call-redial", "x-call-again", "x-call-text"
-CLOSED_RETRY_AFTER_S = 1  # stated where the router is closed
+CLOSED_RETRY_AFTER_S = 1
 Headers = Mapping[str, str]  # names in lower case
 
 
 def from_headers(headers: Headers, klass: str = "", wait_s: float = 0.0) -> CallRequest | None:
-    """The call that a request's headers ask for; None without X-Call-Number, which asks for none.
+    """The call that a request's headers ask for; None if there is no X-Call-Number.
 
-    `klass` and `wait_s` (seconds) stand in where the headers name none. Raises RequestError, naming the
-    header.
+    `headers` has lower-case names. `klass` and `wait_s` (seconds) are the defaults for X-Call-Class and
+    X-Call-Wait-Ms. Raises RequestError with a message that names the header or the field.
     """
     number = headers.get(NUMBER_HEADER)
     if number is None:
         return None
     if DEST_HEADER not in headers:
-        raise RequestError(f"{DEST_HEADER}: is missing: the number of the centre that holds the record")
+        raise RequestError(
+            f"{DEST_HEADER}: is missing; it gives the number of the switch that holds the record"
+        )
     if WAIT_MS_HEADER in headers:
         wait_s = int_header(headers, WAIT_MS_HEADER) / 1000
     if not 0 < wait_s <= MAX_WAIT_S:
-        raise RequestError(f"{WAIT_MS_HEADER}: give 1 to {MAX_WAIT_S * 1000:.0f} milliseconds")
+        raise RequestError(f"{WAIT_MS_HEADER}: must be 1 to {MAX_WAIT_S * 1000:.0f} milliseconds")
     return CallRequest(
         number=number,
         dest=int_header(headers, DEST_HEADER),
@@ -53,25 +55,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """A response that the middleware gives in place of the application."""
+    """A response sent by the middleware in place of the application."""
 
     status: int
-    reason: str  # of the status line
+    reason: str  # reason phrase of the status line
     text: str
     retry_after_s: int | None = None  # whole seconds (RFC 9110, 10.2.3)
 
     def headers(self) -> list[tuple[str, str]]:
-        found = [("content-type", "text/plain; charset=utf-8"), ("content-length", str(len(self.body())))]
+        headers = [("content-type", "text/plain; charset=utf-8"), ("content-length", str(len(self.body())))]
         if self.retry_after_s is not None:
-            found.append(("retry-after", str(self.retry_after_s)))
-        return found
+            headers.append(("retry-after", str(self.retry_after_s)))
+        return headers
 
     def body(self) -> bytes:
         return f"{self.text}\n".encode("utf-8", "replace")
 
 
 def response_for_outcome(outcome: Refused | Failed) -> ErrorResponse:
-    """RFC 9110: 503 with Retry-After for a call turned away, 504 for one without an answer in time."""
+    """By RFC 9110: 503 with Retry-After for a refused call, 504 for one without an answer in time."""
     if isinstance(outcome, Refused):
         return ErrorResponse(503, "Service Unavailable", "busy, come back later", outcome.retry_after)
     match outcome.why:
--- a/rowanmast/middleware/wsgi.py
+++ b/rowanmast/middleware/wsgi.py
@@ -1,4 +1,4 @@
-"""WSGI middleware (PEP 3333) for threaded hosts: a request becomes a call that stands for its handler."""
+"""WSGI middleware (PEP 3333) for threaded hosts that places a call for a request."""
 
 from __future__ import annotations
 
@@ -25,8 +25,9 @@
 class WsgiRoutingMiddleware:
     """Places a call for each request that asks for one; the handler finds it under `rowanmast.call`.
 
-    It is released when the response has been sent (PEP 3333's `close`), and `describe` is as in the ASGI
-    middleware, of an environ. The request's thread waits for the outcome; the router's own thread never does.
+    The call is released when the response has been sent (`close` of PEP 3333). `describe` maps an environ to
+    a call; it, the other parameters and the error responses are as in RoutingMiddleware. The request's
+    thread blocks until the outcome; the router's thread does not.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
 
 
 class ReleasingResponse:
-    """The application's response, whose end releases the call."""
+    """The application's response, whose `close` releases the call."""
 
     def __init__(self, parts: Iterable[bytes], call: StandingCall) -> None:
         self.body = parts
@@ -85,6 +86,6 @@
     return {name[5:].lower().replace("_", "-"): str(environ[name]) for name in names}
 
 
-def send_response(start_response: StartResponse, answer: ErrorResponse) -> Iterable[bytes]:
-    start_response(f"{answer.status} {answer.reason}", answer.headers())
-    return [answer.body()]
+def send_response(start_response: StartResponse, response: ErrorResponse) -> Iterable[bytes]:
+    start_response(f"{response.status} {response.reason}", response.headers())
+    return [response.body()]
--- a/rowanmast/net/__init__.py
+++ b/rowanmast/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wire: SIP towards callers, JSON lines towards switches, HTTP towards the change log."""
+"""The platform's protocols: SIP to callers, JSON lines to switches, HTTP to the change log."""
--- a/rowanmast/net/callers.py
+++ b/rowanmast/net/callers.py
@@ -1,4 +1,4 @@
-"""The platform's front: callers that speak SIP over TCP. Adapts them to the core's port `Front`."""
+"""Callers that speak SIP over TCP; implements the core's `Front` protocol."""
 
 from __future__ import annotations
 
@@ -14,22 +14,17 @@
 from rowanmast.net.stream import Stream
 from rowanmast.routes import parse_integer, parse_route
 
-MAX_WRITE_BUFFER_BYTES = 256 * 1024  # bytes a caller may leave unread before its connection is closed
-MAX_SETUP_MS = 3_600_000  # nobody waits longer, and timers take no time without bounds
-MAX_SET_UPS_PER_CONNECTION = (
-    200  # open on one connection: a caller that floods us is refused before it costs others
-)
-BYE_LIFETIME_US = 10_000_000  # a BYE that nobody answers is forgotten after this long
-BYE_RETRY_US = 250_000  # one that is not answered goes out on another connection, at doubling gaps
-FIRST_BYTE_TIMEOUT_US = 2_500_000  # a connection on which nothing at all has come by then is closed
-IDLE_TIMEOUT_US = (
-    10_000_000  # one without a set-up open is closed this long after its last byte; callers take 4 s
-)
-SHUTDOWN_IDLE_TIMEOUT_US = (
-    250_000  # the same while the router ends: longer than a set-up takes that crosses the close (50 ms)
-)
+MAX_WRITE_BUFFER_BYTES = 256 * 1024  # unread bytes at which a caller's connection is closed
+MAX_SETUP_MS = 3_600_000  # no caller waits longer, and timers need a bounded value
+MAX_SET_UPS_PER_CONNECTION = 200  # a flood from one caller is refused before it affects other callers
+BYE_LIFETIME_US = 10_000_000  # an unanswered BYE is dropped after this time
+BYE_RETRY_US = 250_000  # delay before an unanswered BYE is sent on another connection; doubles each time
+FIRST_BYTE_TIMEOUT_US = 2_500_000  # a new connection that has sent nothing by then is closed
+IDLE_TIMEOUT_US = 10_000_000  # since the last byte, without set-up or call; callers close after 4 s
+# The idle time-out during shutdown: longer than the 50 ms in which a set-up may cross the close.
+SHUTDOWN_IDLE_TIMEOUT_US = 250_000
 SWEEP_INTERVAL_S = 0.25
-LIMIT_LOG_INTERVAL_US = 1_000_000  # a crowd at the limit is logged once in this time, not for each that comes
+LIMIT_LOG_INTERVAL_US = 1_000_000  # minimum time between two log lines about the connection limit
 FAILURE_STATUS = {Failure.GIVEN_UP: 500, Failure.CANCELLED: 487, Failure.FAULT: 500, Failure.UNFIT: 400}
 
 log = logging.getLogger(__name__)
@@ -37,7 +32,7 @@
 
 @dataclass(slots=True)
 class PendingBye:
-    """A release that a caller has to hear."""
+    """A release that no caller has acknowledged yet."""
 
     cause: int
     created_at: int
@@ -47,25 +42,26 @@
 
 
 class SipFront:
-    """All callers' connections, the set-ups open on them and the releases that they still have to hear."""
+    """The callers' connections, the unanswered set-ups on them and the unacknowledged releases."""
 
     survives_restart = True
 
     def __init__(self, inbox: Inbox, max_connections: int, clock: Callable[[], int]) -> None:
         self.inbox = inbox
         self.clock = clock
-        self.max_connections = max_connections  # connections, so that descriptors are left for the switches
-        self.unconfirmed: dict[CallerConnection, None] = {}  # that minded no call yet, oldest first
-        self.confirmed: dict[CallerConnection, None] = {}  # that did, the last to mind one at the end
+        self.max_connections = max_connections  # leaves file descriptors for the switches
+        # A connection is confirmed once it acknowledges an answer or a release, as callers with calls do.
+        self.unconfirmed: dict[CallerConnection, None] = {}  # oldest first
+        self.confirmed: dict[CallerConnection, None] = {}  # most recently confirmed last
         self.pending_invites: dict[str, tuple[CallerConnection, sip.Message]] = {}
-        self.standing: dict[str, CallerConnection] = {}  # where each call that stands was set up
-        self.pending_byes: dict[str, PendingBye] = {}  # that no caller has answered yet
-        self.draining = False  # tests fail, so that callers go elsewhere
-        self.refusing = False  # set-ups are refused at once
-        self.limit_logged_at = -LIMIT_LOG_INTERVAL_US  # when the log last said that the limit is reached
+        self.standing: dict[str, CallerConnection] = {}  # the connection on which each was set up, by call
+        self.pending_byes: dict[str, PendingBye] = {}  # by call
+        self.draining = False  # OPTIONS is answered with 503, so that callers use another router
+        self.refusing = False  # every new set-up is refused
+        self.limit_logged_at = -LIMIT_LOG_INTERVAL_US
         self.sweep_timer: asyncio.TimerHandle | None = None
 
-    # The port
+    # Front
 
     def answer(self, call: str, text: str) -> None:
         connection, _ = self.pending_invites.get(call, (None, None))
@@ -77,14 +73,17 @@
         self.respond(call, 200, (("Contact", f"<sip:{call}@net>"),), text.encode("utf-8", "surrogatepass"))
 
     def refuse(self, call: str, retry_after_us: int) -> None:
-        wait = max(math.ceil(retry_after_us / 1_000_000), 1)  # RFC 3261 counts in whole seconds
-        self.respond(call, 503, (("Retry-After", str(wait)),))
+        retry_after_s = max(math.ceil(retry_after_us / 1_000_000), 1)  # whole seconds (RFC 3261)
+        self.respond(call, 503, (("Retry-After", str(retry_after_s)),))
 
     def fail(self, call: str, why: Failure) -> None:
         self.respond(call, FAILURE_STATUS[why])
 
     def release(self, call: str, cause: int) -> None:
-        """Any caller's connection will do, since a call that stands belongs to none; its own comes first."""
+        """Sends a BYE on the call's own connection if that is open, otherwise on another caller's.
+
+        A standing call is not bound to a connection.
+        """
         bye = self.pending_byes[call] = PendingBye(cause, self.clock())
         self.send_bye(call, bye, self.remove_standing(call))
         self.schedule_sweep()
@@ -97,11 +96,12 @@
         return connection
 
     def send_bye(self, call: str, bye: PendingBye, connection: CallerConnection | None = None) -> None:
-        """On the connection that last minded a call, or on another one where that gave no answer.
+        """Sends it on `connection`, or on the most recently confirmed one that it was not last sent on.
 
-        One that minded none may belong to nobody who knows of calls: it serves only if there is no other.
+        An unconfirmed connection may belong to a client that makes no calls, so it is used only if there is
+        no other.
         """
-        if connection is None or connection.half_closed:  # one that is half closed can't acknowledge it
+        if connection is None or connection.half_closed:  # a half-closed one can't acknowledge the BYE
             others = (*reversed(self.confirmed), *reversed(self.unconfirmed))
             connection = next((other for other in others if other is not bye.sent_on), bye.sent_on)
         if connection is not None:
@@ -111,29 +111,29 @@
             connection.write(sip.encode_bye(call, bye.cause))
 
     def sweep(self) -> None:
-        """Sends again what was not answered, and closes connections of which nothing comes."""
+        """Resends unanswered BYEs and closes idle connections."""
         self.sweep_timer = None
         now = self.clock()
         for call, bye in list(self.pending_byes.items()):
             if now - bye.created_at > BYE_LIFETIME_US:
-                del self.pending_byes[call]  # an answer to a BYE is not owed
+                del self.pending_byes[call]  # callers need not answer a BYE
             elif now >= bye.retry_at:
                 self.send_bye(call, bye)
-        awaited = {bye.sent_on for bye in self.pending_byes.values()}
+        awaiting_response = {bye.sent_on for bye in self.pending_byes.values()}
         for connection in [*self.unconfirmed, *self.confirmed]:
-            if self.refusing and connection in awaited and not connection.half_closed:
-                continue  # the answer to a BYE may still come
+            if self.refusing and connection in awaiting_response and not connection.half_closed:
+                continue  # the response to a BYE may still arrive
             if connection.is_idle() and now - connection.last_read_at > self.idle_timeout(connection):
                 self.close_connection(connection)
         if self.pending_byes or self.unconfirmed or self.confirmed:
             self.schedule_sweep()
 
     def idle_timeout(self, connection: CallerConnection) -> int:
-        """How long a connection with nothing open on it may be silent, in microseconds."""
+        """How long a connection without a set-up or call may be silent, in microseconds."""
         if connection.half_closed:
             return 0
         if self.refusing and connection is not next(reversed(self.confirmed), None):
-            return SHUTDOWN_IDLE_TIMEOUT_US  # the last that acknowledged something stays, for releases
+            return SHUTDOWN_IDLE_TIMEOUT_US  # the most recently confirmed one stays open for releases
         return IDLE_TIMEOUT_US if connection.has_received else FIRST_BYTE_TIMEOUT_US
 
     def schedule_sweep(self) -> None:
@@ -163,12 +163,12 @@
             self.schedule_sweep()
 
     def eviction_candidate(self) -> CallerConnection | None:
-        """The oldest that never minded a call, or the one that did so longest ago."""
-        oldest = (*self.unconfirmed, *self.confirmed)
-        return next((connection for connection in oldest if not connection.set_ups), None)
+        """The oldest unconfirmed connection without an open set-up, or else the least recently confirmed."""
+        candidates = (*self.unconfirmed, *self.confirmed)
+        return next((connection for connection in candidates if not connection.set_ups), None)
 
     def close_connection(self, connection: CallerConnection) -> None:
-        """Nothing more is heard or told there, though the close itself takes effect a turn later."""
+        """Stops using the connection at once; the transport closes in a later iteration of the event loop."""
         self.connection_closed(connection)
         connection.close()
 
@@ -182,7 +182,10 @@
         self.resend_byes(connection)
 
     def connection_closed(self, connection: CallerConnection) -> None:
-        """Gives up the set-ups open on it, and calls whose answer came too late for its other side."""
+        """Cancels the connection's open set-ups and releases calls answered after the caller's half-close.
+
+        The caller may not have received those answers.
+        """
         for call in connection.set_ups:
             del self.pending_invites[call]
             self.inbox.post(Cancelled(call))
@@ -195,7 +198,10 @@
         self.remove_connection(connection)
 
     def resend_byes(self, sent_on: CallerConnection | None) -> None:
-        """Those that found no connection, or one that may not have delivered them."""
+        """Resends the BYEs last sent on this connection, which may not have delivered them.
+
+        With None, those for which no connection was open.
+        """
         for call, bye in self.pending_byes.items():
             if bye.sent_on is sent_on:
                 bye.sent_on, bye.retry_delay_us = None, BYE_RETRY_US
@@ -226,14 +232,14 @@
                 connection.write(sip.encode_response(message, 501))
 
     def mark_confirmed(self, connection: CallerConnection) -> None:
-        """It has acknowledged an answer or a release, as only those do who made the call."""
+        """The connection has acknowledged an answer or a release, as only the caller of a call does."""
         self.unconfirmed.pop(connection, None)
         self.confirmed.pop(connection, None)
         self.confirmed[connection] = None
 
     def handle_invite(self, connection: CallerConnection, message: sip.Message) -> None:
         call = message.call_id
-        if call in self.pending_invites:  # two under one id can't be told apart by those who sent them
+        if call in self.pending_invites:  # the senders could not tell the responses apart
             log.warning("duplicate_invite", extra={"call": call})
             connection.write(sip.encode_response(message, 400))
             if self.pending_invites[call][0] is connection:
@@ -256,7 +262,7 @@
         route = parse_route(message.get("x-route"), message.get("x-redial") == "1")
         left_ms = parse_integer(message.get("x-setup-ms"))
         if not (message.call_id and message.user and 0 <= left_ms <= MAX_SETUP_MS):
-            raise ValueError("no call id, no number or no time to wait")
+            raise ValueError("INVITE without call id, number or valid X-Setup-Ms")
         return Offer(
             front=self,
             call=message.call_id,
@@ -269,7 +275,7 @@
 
 
 def release_cause(message: sip.Message) -> int:
-    """The Q.850 cause of a BYE; a release without one is normal clearing."""
+    """The Q.850 cause of a BYE; normal clearing if there is none or it is malformed."""
     cause = message.get("reason").partition("cause=")[2].split(";")[0].strip()
     return int(cause) if cause.isascii() and cause.isdigit() and len(cause) <= 3 else NORMAL_CLEARING
 
@@ -283,13 +289,11 @@
         self.parser = sip.Parser()
         self.set_ups: set[str] = set()
         self.standing: set[str] = set()
-        self.answered_after_half_close: set[str] = (
-            set()
-        )  # calls that stand, answered after its other side closed
+        self.answered_after_half_close: set[str] = set()  # standing calls
         self.opened_at = 0
-        self.last_read_at = 0  # when the last bytes came, or it was opened
+        self.last_read_at = 0  # initially the time at which it was opened
         self.has_received = False
-        self.half_closed = False  # its other side sends no more, but may still read
+        self.half_closed = False  # the caller has closed its sending side, but may still read
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -304,7 +308,7 @@
             self.front.handle_message(self, message)
 
     def eof_received(self) -> bool:
-        """True keeps it open for the answers that are owed; the sweep closes it after them."""
+        """True keeps the connection open while it has set-ups or calls; the sweep closes it afterwards."""
         self.half_closed = True
         return not self.is_idle()
 
