--- a/rowanmast/net/changelog.py
+++ b/rowanmast/net/changelog.py
@@ -1,4 +1,4 @@
-"""Follows the change log over HTTP and tells what it says of the switches."""
+"""Client of the change log: follows it over HTTP by long polls and reports changes of the switch list."""
 
 from __future__ import annotations
 
@@ -16,12 +16,10 @@
 
 from rowanmast import interface as api
 
-LONG_POLL_MS = 1000  # for which the change log holds a question open: a log that stops is noticed the sooner
-RESPONSE_TIMEOUT_S = (
-    1.0  # beyond that, or since the last bytes of an answer, a question is late and another is asked
-)
-LATE_TIMEOUT_S = 10.0  # a late one is given up when nothing has come for this long
-MAX_LATE_CONNECTIONS = 3  # late questions that are kept beside the new one
+LONG_POLL_MS = 1000  # how long the change log may hold a request; a stopped log is noticed soon after that
+RESPONSE_TIMEOUT_S = 1.0  # after the long poll, or after the last bytes; then a further connection is opened
+LATE_TIMEOUT_S = 10.0  # a late connection on which nothing arrives for this long is closed
+MAX_LATE_CONNECTIONS = 3  # kept open beside the current one
 RETRY_MIN_S, RETRY_MAX_S = 0.1, 0.5
 MAX_RESPONSE_BYTES = 1024 * 1024
 HEALTH_STATES = {
@@ -34,12 +32,12 @@
 
 
 class ChangeLogError(ValueError):
-    """The change log's text is not in its form."""
+    """A response of the change log, or a list in the configuration, is malformed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One event of the change log: the list's entries, and where each switch is reached."""
+    """One change of the switch list, with the addresses of the switches in it."""
 
     seq: int
     exchange_list: api.ExchangeList
@@ -49,12 +47,15 @@
 def parse_address(text: object) -> tuple[str, int]:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit():
-        raise ChangeLogError(f"{text!r} is no address")
+        raise ChangeLogError(f"{text!r} is not a host:port address")
     return host, int(port)
 
 
 class Reader:
-    """Reads lists; knows how Unix times map to the monotonic clock, as it was when the router started."""
+    """Parses switch lists from the change log and the configuration.
+
+    Converts Unix times to the monotonic clock, with the offset at the reader's creation.
+    """
 
     def __init__(self) -> None:
         self.offset_ns = time.monotonic_ns() - time.time_ns()
@@ -74,7 +75,7 @@
 
     def read_entry(self, host: Any) -> api.ListEntry:
         if host["health"] not in HEALTH_STATES:
-            raise ChangeLogError(f"{host['health']!r} is no state")
+            raise ChangeLogError(f"unknown health {host['health']!r}")
         born = int(host.get("born_ms") or 0)
         return api.ListEntry(
             exchange=str(host["host"]),
@@ -86,10 +87,10 @@
 
 
 class ChangeLogClient:
-    """Asks for changes, one long question after the other, and connects anew when that breaks.
+    """Polls the change log and reconnects when the connection is lost.
 
-    A question without an answer in time is not given up: it may only be slow. It stays open for a while
-    beside a new one on another connection, and whichever is answered tells.
+    A request that is not answered in time may only be slow, so its connection stays open for a while beside a
+    new one, and changes are taken from whichever answers.
     """
 
     def __init__(
@@ -106,9 +107,7 @@
         self.on_change = on_change
         self.random = random
         self.backoff_s = RETRY_MIN_S
-        self.connections: list[
-            PollConnection
-        ] = []  # open ones, the newest at the end; those before it are late
+        self.connections: list[PollConnection] = []  # the current one is last; those before it are late
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -117,11 +116,11 @@
     def stop(self) -> None:
         if self.task is not None:
             self.task.cancel()
-        for question in list(self.connections):
-            question.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Asks there from now on, from the last event told."""
+        """Polls this address from now on, continuing after the last change received."""
         self.stop()
         self.address, self.backoff_s = address, RETRY_MIN_S
         self.start()
@@ -133,16 +132,16 @@
             self.backoff_s = min(self.backoff_s * 2, RETRY_MAX_S)
 
     async def poll_once(self) -> None:
-        """One connection, until it is lost or late with an answer."""
+        """Polls on one new connection until it is lost or late."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                _, question = await loop.create_connection(partial(PollConnection, self), *self.address)
+                _, connection = await loop.create_connection(partial(PollConnection, self), *self.address)
         except OSError as error:
             log.warning("change_log_unreached", extra={"why": type(error).__name__})
             return
-        await question.lost_or_late
-        if question in self.connections:
+        await connection.lost_or_late
+        if connection in self.connections:
             log.warning("change_log_late", extra={"seq": self.seq, "open": len(self.connections)})
         while len(self.connections) > MAX_LATE_CONNECTIONS:
             self.connections[0].abort()
@@ -156,18 +155,18 @@
 
 
 class PollConnection(asyncio.Protocol):
-    """One connection to the change log."""
+    """One connection to the change log; sends the next request when a response is complete."""
 
     def __init__(self, client: ChangeLogClient) -> None:
         self.client = client
-        self.lost_or_late: asyncio.Future[None] = asyncio.get_running_loop().create_future()  # lost, or late
+        self.lost_or_late: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.parser = httptools.HttpResponseParser(self)
         self.body = b""
         self.transport: asyncio.Transport | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class does not derive from it
         self.client.connections.append(self)
         self.send_request()
 
@@ -179,7 +178,7 @@
         self.restart_timer(LONG_POLL_MS / 1000 + RESPONSE_TIMEOUT_S)
 
     def restart_timer(self, seconds: float) -> None:
-        """The next bytes are expected by then; without them it is late, and a late one is given up."""
+        """Expects the next bytes within `seconds`."""
         if self.timer is not None:
             self.timer.cancel()
         self.timer = asyncio.get_running_loop().call_later(seconds, self.timed_out)
@@ -189,6 +188,7 @@
         return self.lost_or_late.done()
 
     def timed_out(self) -> None:
+        """Marks the connection as late; closes it if it was late already."""
         if self.is_late:
             self.abort()
             return
@@ -210,13 +210,13 @@
     def on_body(self, body: bytes) -> None:
         self.body += body
         if len(self.body) > MAX_RESPONSE_BYTES:
-            raise ChangeLogError("answer over 1 MiB")
+            raise ChangeLogError("response body over 1 MiB")
 
     def on_message_complete(self) -> None:
         assert self.transport is not None
         body, self.body = self.body, b""
         if self.parser.get_status_code() != 200:
-            raise ChangeLogError(f"status {self.parser.get_status_code()}")
+            raise ChangeLogError(f"HTTP status {self.parser.get_status_code()}")
         self.client.handle_body(body)
         if self.parser.should_keep_alive() and not self.is_late:
             self.send_request()
--- a/rowanmast/net/input_queue.py
+++ b/rowanmast/net/input_queue.py
@@ -1,4 +1,4 @@
-"""Gathers what callbacks report and hands it to the ledger, once a turn of the loop."""
+"""Queues the inputs that callbacks post and passes them to the ledger, once per event loop iteration."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
 
 
 class InputQueue:
+    """The inbox of fronts and links; also drives the ledger's timers."""
+
     def __init__(self, loop: asyncio.AbstractEventLoop, ledger: Ledger) -> None:
         self.loop = loop
         self.ledger = ledger
@@ -37,22 +39,23 @@
         now = now_us()
         if self.ledger.awaiting_release:
             self.ledger.output_flushed(now)
-        self.ledger.turn(now, items)
+        self.ledger.run_turn(now, items)
         if self.ledger.awaiting_release:
-            self.loop.call_soon(self.confirm_written)  # run once the bytes that this turn wrote have left
+            self.loop.call_soon(self.confirm_written)  # runs after this turn's bytes were sent
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        due = self.ledger.next_timer()
-        if due is not None:
-            self.timer = self.loop.call_later(max(due - now, 0) / 1e6, self.schedule_flush)
+        wake_at = self.ledger.next_timer()
+        if wake_at is not None:
+            self.timer = self.loop.call_later(max(wake_at - now, 0) / 1e6, self.schedule_flush)
 
     def confirm_written(self) -> None:
+        """Tells the ledger that the bytes of the last turn have been sent."""
         if self.ledger.awaiting_release:
             self.ledger.output_flushed(now_us())
 
     def close(self) -> None:
-        """The router has ended: nothing that is posted is taken any more."""
+        """The router has stopped: inputs posted from now on are not processed."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
--- a/rowanmast/net/jsonlines.py
+++ b/rowanmast/net/jsonlines.py
@@ -1,4 +1,4 @@
-"""JSON lines as switches speak them: a codec without sockets."""
+"""Codec of the JSON lines protocol of switches; does no I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LineError(ValueError):
-    """The bytes are no line that we take."""
+    """A line is malformed or too long."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,13 +37,13 @@
 
 
 class Parser:
-    """Cuts a stream of bytes into lines."""
+    """Incremental parser: splits a byte stream into lines and decodes them."""
 
     def __init__(self) -> None:
         self.buffer = b""
 
     def feed(self, data: bytes) -> Iterator[Line]:
-        """The lines that are whole now; after them, LineError if the stream can't be read on."""
+        """Yields the lines that are complete now, then raises LineError if the next one is malformed."""
         *whole, self.buffer = (self.buffer + data).split(b"\n")
         for line in whole:
             if len(line) > MAX_LINE_BYTES:
@@ -58,15 +58,15 @@
     try:
         fields = ujson.loads(line)
     except ValueError:
-        raise LineError("not JSON") from None
+        raise LineError("line is not JSON") from None
     if not isinstance(fields, dict) or not isinstance(fields.get("msg"), str):
-        raise LineError("no message type")
+        raise LineError("line has no message type")
     sid, attrs = fields.get("sid", ""), fields.get("attrs") or {}
     code, text = fields.get("code") or 0, fields.get("text") or ""
     if not (isinstance(sid, str) and isinstance(attrs, dict)):
-        raise LineError("id or fields are malformed")
+        raise LineError("malformed sid or attrs")
     if not (isinstance(code, int) and isinstance(text, str)):
-        raise LineError("cause or description is malformed")
+        raise LineError("malformed code or text")
     return Line(fields["msg"], sid, attrs, code, text)
 
 
--- a/rowanmast/net/logs.py
+++ b/rowanmast/net/logs.py
@@ -1,13 +1,11 @@
-"""Log lines of key=value pairs, one line an event."""
+"""Logging as lines of key=value pairs, one line per event."""
 
 from __future__ import annotations
 
 import logging
 import sys
 
-EMBEDDED_THREAD_PREFIX = (
-    "rowanmast:"  # the threads of embedded routers are named so, followed by the router's name
-)
+EMBEDDED_THREAD_PREFIX = "rowanmast:"  # of an embedded router's thread; its name follows
 STANDARD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
 
 
@@ -36,7 +34,7 @@
 
 
 class OfRouter(logging.Filter):
-    """Lets through the lines of one embedded router, for a handler of its own."""
+    """Passes only the records of one embedded router, so that it can have its own handler."""
 
     def __init__(self, name: str) -> None:
         super().__init__()
--- a/rowanmast/net/peer_connection.py
+++ b/rowanmast/net/peer_connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection to a switch that speaks JSON lines: reads lines, notices when they stop short."""
+"""One TCP connection to a switch that speaks JSON lines: parses lines and detects incomplete ones."""
 
 from __future__ import annotations
 
@@ -22,12 +22,10 @@
 if TYPE_CHECKING:
     from rowanmast.net.peers import JsonSwitchLink
 
-MAX_WRITE_BUFFER_BYTES = 1024 * 1024  # bytes a switch may leave unread before its connection is closed
-PARTIAL_LINE_TIMEOUT_S = (
-    0.25  # a line that was begun goes on within this time, or its connection is of no more use
-)
-# A machine that vanishes or is cut off leaves its connections open and silent, and the kernel's own repeats
-# back off for minutes, also when it is back. So one that acknowledges nothing for 3 s is given up.
+MAX_WRITE_BUFFER_BYTES = 1024 * 1024  # unread bytes at which a switch's connection is closed
+PARTIAL_LINE_TIMEOUT_S = 0.25  # since the last bytes; a connection whose line is still incomplete is closed
+# A machine that crashes or is cut off leaves its connections open and silent. TCP retransmissions back off
+# for minutes, even after it has returned, so a connection without any ACK for 3 s is closed.
 KEEPALIVE_OPTIONS = (
     (IPPROTO_TCP, TCP_USER_TIMEOUT, 3000),
     (SOL_SOCKET, SO_KEEPALIVE, 1),
@@ -37,7 +35,7 @@
 
 
 class SwitchConnection(Stream):
-    """One connection to a switch."""
+    """One connection to a switch; its link decides what to send on it."""
 
     def __init__(self, link: JsonSwitchLink) -> None:
         super().__init__(link.exchange, MAX_WRITE_BUFFER_BYTES)
@@ -46,9 +44,9 @@
         self.parser = jsonlines.Parser()
         self.in_flight: dict[str, Attempt] = {}
         self.opened_at = self.heard_at = now_us()
-        self.endpoint: Endpoint | None = None  # to which it goes, where the switch has several
-        self.lagging_since = 0
-        self.status_received = False  # a state has come on it
+        self.endpoint: Endpoint | None = None  # set if the switch has several addresses
+        self.lagging_since = 0  # since when it has lacked statuses that other connections received; 0: not
+        self.status_received = False
         self.partial_line_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -67,18 +65,18 @@
         self.restart_partial_line_timer()
 
     def restart_partial_line_timer(self) -> None:
-        """A line that stops short never ends, and nothing comes behind it."""
+        """Closes the connection if a line stays incomplete: the rest of the stream is taken to be lost."""
         if self.partial_line_timer is not None:
             self.partial_line_timer.cancel()
             self.partial_line_timer = None
         if self.parser.buffer and not self.is_closing:
             loop = asyncio.get_running_loop()
             self.partial_line_timer = loop.call_later(
-                PARTIAL_LINE_TIMEOUT_S, self.close_unreadable, "a line stopped short"
+                PARTIAL_LINE_TIMEOUT_S, self.close_unreadable, "incomplete line, no more data"
             )
 
     def close_unreadable(self, why: object) -> None:
-        """From here on nothing is sent on it, though the close itself takes effect a turn later."""
+        """Stops sending on it at once; the transport closes in a later iteration of the event loop."""
         self.link.connection_closed(self, "unreadable")
         super().close_unreadable(why)
 
--- a/rowanmast/net/peers.py
+++ b/rowanmast/net/peers.py
@@ -1,4 +1,4 @@
-"""Switches that speak JSON lines over TCP. Adapts each to the core's port `SwitchLink`."""
+"""Links to switches that speak JSON lines over TCP; implements the core's `SwitchLink` protocol."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from rowanmast.core.ports import (
     Answered,
     Attempt,
-    AttemptEnded,
+    AttemptFailed,
     CallEnded,
-    Ending,
+    EndReason,
     Inbox,
     SendGate,
     SwitchDown,
@@ -32,26 +32,24 @@
 from rowanmast.net.input_queue import now_us
 from rowanmast.net.peer_connection import SwitchConnection
 
-MAX_CONNECTIONS = 4  # connections: one that is spoiled or reset costs the set-ups that are out on it
-SILENCE_TIMEOUT_US = (
-    300_000  # one on which nothing came for this long while a set-up on it ran out of time is replaced
-)
-STATUS_SPREAD_US = 50_000  # a state comes on all connections, within this time of each other
-MAX_STATUS_LAG_US = (
-    100_000  # one that still lacks what came on another this long ago is of no more use either
-)
-RECONNECT_MIN_S, RECONNECT_MAX_S = 0.1, 2.0  # pauses between connects while nobody asks for one
-MAX_QUEUED_RELEASES = 10_000  # releases that are kept until a connection to the switch comes up
-PROBE_ID = f"{1:016x}"  # the id of a probe that the decisions ask for, in the form of a call's
-HEARTBEAT_ID = f"{2:016x}"  # and of one that only asks for a sign of life
+MAX_CONNECTIONS = 4  # per switch: losing one fails only the set-ups that are in flight on it
+# A connection that received nothing for this long when a set-up on it is cancelled is replaced.
+SILENCE_TIMEOUT_US = 300_000
+STATUS_SPREAD_US = 50_000  # a switch sends each status on all its connections within this time
+MAX_STATUS_LAG_US = 100_000  # a connection that has lacked a status for this long is replaced
+RECONNECT_MIN_S, RECONNECT_MAX_S = 0.1, 2.0  # backoff between connects that no set-up is waiting for
+MAX_QUEUED_RELEASES = 10_000  # releases kept until a connection to the switch is open
+LOAD_PROBE_ID = f"{1:016x}"  # of the probes that the decision module requests; in the form of a call id
+LIVENESS_PROBE_ID = f"{2:016x}"  # of the probes that `liveness` requests, only to check for a response
 
 log = logging.getLogger(__name__)
 
 
 class JsonSwitchLink:
-    """The connections to a switch, kept open while the switch is listed, and what is out on them.
+    """The connections to one switch, kept open while it is listed, and the set-ups in flight on them.
 
-    Calls that stand belong to no connection. `liveness` says how long they may be believed to stand.
+    Standing calls are not bound to a connection: `liveness` holds the leases that decide how long they are
+    taken to stand.
     """
 
     def __init__(
@@ -65,7 +63,7 @@
         connector: Connector | None = None,
         may_probe: bool = True,
     ) -> None:
-        """`address` is the change log's; with a `connector`, connections go to the addresses that it has."""
+        """`address` comes from the change log; a `connector`, if given, chooses the address to connect to."""
         self.liveness = SwitchLiveness(may_probe)
         self.exchange = exchange
         self.address = address
@@ -75,30 +73,24 @@
         self.random = random
         self.connector = connector
         self.connections: list[SwitchConnection] = []
-        self.retired: list[
-            SwitchConnection
-        ] = []  # silent, kept only as the last sign of a process with calls
+        # Unresponsive connections that are kept as the only ones known to lead to a process with calls.
+        self.retired: list[SwitchConnection] = []
         self.connect_task: asyncio.Task[None] | None = None
         self.reconnect_timer: asyncio.TimerHandle | None = None
         self.backoff_s = RECONNECT_MIN_S
-        self.queued_attempts: dict[str, Attempt] = {}  # set-ups for which a connection is being opened
-        self.attempt_connections: dict[
-            str, SwitchConnection
-        ] = {}  # where each set-up left that has no end yet
-        self.queued_releases: deque[bytes] = deque(
-            maxlen=MAX_QUEUED_RELEASES
-        )  # releases that found no connection
-        self.probed_at: int | None = None
+        self.queued_attempts: dict[str, Attempt] = {}  # sent as soon as a connection is open
+        self.attempt_connections: dict[str, SwitchConnection] = {}  # of the set-ups in flight, by call
+        self.queued_releases: deque[bytes] = deque(maxlen=MAX_QUEUED_RELEASES)  # no connection was open
+        self.load_probed_at: int | None = None
         self.liveness_timer: asyncio.TimerHandle | None = None
-        self.verify_started_at = 0  # when the connections that carry calls were last asked for a sign of life
-        self.on_removal_done: Callable[[], None] | None = (
-            None  # from discovery: called once nothing is left here
-        )
+        self.verify_started_at = 0  # when the connections that carry calls were last probed for `verify`
+        # Set once discovery has removed the switch; called when the link is closed.
+        self.on_removal_done: Callable[[], None] | None = None
         self.closed = False
-        self.last_connection_number = 0  # of its connections, in the order in which they came up
+        self.last_connection_number = 0  # connections are numbered in the order in which they open
         self.connect()
 
-    # The port
+    # SwitchLink
 
     def set_up(self, attempt: Attempt) -> None:
         if self.connections:
@@ -131,8 +123,8 @@
 
     def probe(self) -> None:
         if self.connections:
-            self.probed_at = now_us()
-            self.connections[0].write(jsonlines.encode("probe", PROBE_ID, {}, code=1))
+            self.load_probed_at = now_us()
+            self.connections[0].write(jsonlines.encode("probe", LOAD_PROBE_ID, {}, code=1))
         else:
             self.inbox.post(api.LoadReported(self.exchange, False, 0, api.LoadReport()))
 
@@ -140,10 +132,10 @@
     def survives_restart(self) -> bool:
         return self.liveness.all_heard_since(self.verify_started_at)
 
-    # Calls that stand
+    # Standing calls
 
     def verify_alive(self) -> None:
-        """Asks for a sign of life now; `survives_restart` tells whether one has come since."""
+        """Probes the connections that carry calls; `survives_restart` is true once all have responded."""
         self.verify_started_at = now_us()
         self.execute(self.liveness.probe_all(self.verify_started_at))
 
@@ -151,15 +143,15 @@
         self.liveness_timer = None
         self.execute(self.liveness.check(now_us()))
 
-    def execute(self, orders: list[LivenessAction]) -> None:
-        for order in orders:
-            match order:
+    def execute(self, actions: list[LivenessAction]) -> None:
+        for action in actions:
+            match action:
                 case SendProbe():
-                    self.send_heartbeat(order.connection)
+                    self.send_liveness_probe(action.connection)
                 case ReplaceConnection():
-                    self.replace_connection(order.connection)
+                    self.replace_connection(action.connection)
                 case LeaseExpired():
-                    self.end_calls(order.calls, Ending.SWITCH_LOST)
+                    self.end_calls(action.calls, EndReason.SWITCH_LOST)
         self.schedule_liveness_check()
         self.close_unneeded()
 
@@ -171,18 +163,18 @@
             wait_s = max(self.liveness.next_check_at - now_us(), 0) / 1e6
             self.liveness_timer = asyncio.get_running_loop().call_later(wait_s, self.check_liveness)
 
-    def send_heartbeat(self, number: int) -> None:
+    def send_liveness_probe(self, number: int) -> None:
         for connection in (*self.connections, *self.retired):
             if connection.number == number:
-                connection.write(jsonlines.encode("probe", HEARTBEAT_ID, {}, code=0))
+                connection.write(jsonlines.encode("probe", LIVENESS_PROBE_ID, {}, code=0))
 
     def replace_connection(self, number: int) -> None:
         connection = next((one for one in self.connections if one.number == number), None)
         if connection is not None:
             self.drop_unresponsive(connection)
 
-    def end_calls(self, calls: tuple[str, ...], why: Ending) -> None:
-        """Their callers are told, and the switch as soon as it can be reached, if it still has them."""
+    def end_calls(self, calls: tuple[str, ...], why: EndReason) -> None:
+        """Ends these calls towards their callers; releases them at the switch once it is reachable."""
         if not calls:
             return
         details = {"exchange": self.exchange, "calls": len(calls), "why": why.value}
@@ -193,7 +185,7 @@
         self.send_queued_releases()
 
     def send_queued_releases(self) -> None:
-        """On the connection that was heard last, if there is one."""
+        """Sends them on the connection that received data last, if there is one."""
         if not self.connections:
             return
         connection = max(self.connections, key=lambda one: one.heard_at)
@@ -202,7 +194,7 @@
         self.queued_releases.clear()
 
     def close_unneeded(self) -> None:
-        """Closes what nothing is left on: connections that are kept for calls alone."""
+        """Closes connections that no call or set-up needs: retired ones and those of a removed switch."""
         for connection in list(self.retired):
             if not self.liveness.is_sole_connection(connection.number):
                 connection.close()
@@ -218,9 +210,10 @@
     # Writing
 
     def send_attempt(self, attempt: Attempt) -> None:
+        """Sends the set-up on the connection with the fewest in flight."""
         connection = min(self.connections, key=lambda one: len(one.in_flight))
-        left = max((attempt.deadline - now_us()) // 1000, 1)
-        attrs = {"class": attempt.klass, "key": attempt.key, "left": str(left)}
+        left_ms = max((attempt.deadline - now_us()) // 1000, 1)
+        attrs = {"class": attempt.klass, "key": attempt.key, "left": str(left_ms)}
         self.attempt_connections[attempt.call] = connection
         connection.in_flight[attempt.call] = attempt
         connection.write(jsonlines.encode("open", attempt.call, attrs, text=attempt.text))
@@ -239,13 +232,13 @@
                 self.handle_close(connection, line)
             case "status":
                 self.inbox.post(api.LoadReported(self.exchange, True, 0, line.report))
-                if connection.status_received:  # the first state on a new connection comes there alone
+                if connection.status_received:  # the first status of a new connection comes on that one only
                     self.drop_lagging(connection)
                 connection.status_received = True
-            case "probed" if line.sid == HEARTBEAT_ID:
-                pass  # that it came is all that was asked for
+            case "probed" if line.sid == LIVENESS_PROBE_ID:
+                pass  # `record_activity` has already renewed the leases
             case "probed":
-                delay = 0 if self.probed_at is None else now_us() - self.probed_at
+                delay = 0 if self.load_probed_at is None else now_us() - self.load_probed_at
                 self.inbox.post(api.LoadReported(self.exchange, line.code == 1, delay * 1000, line.report))
             case "probe":
                 connection.write(jsonlines.encode("probed", line.sid, {}, code=1))
@@ -265,8 +258,8 @@
         attempt = self.pop_attempt(line.sid)
         if attempt is not None:
             outcome = causes.outcome_before_answer(line.code)
-            over = AttemptEnded(self.exchange, line.sid, attempt.number, outcome, line.cause, line.report)
-            self.inbox.post(over)
+            ended = AttemptFailed(self.exchange, line.sid, attempt.number, outcome, line.cause, line.report)
+            self.inbox.post(ended)
             return
         outcome = causes.outcome_after_answer(line.code)
         self.liveness.call_released(line.sid, connection.number)
@@ -275,10 +268,10 @@
         self.close_unneeded()
 
     def drop_lagging(self, reporting: SwitchConnection) -> None:
-        """Finds the connections that do not bring what another one brings.
+        """Drops connections that do not receive the statuses that `reporting` receives.
 
-        Behind an answer that never comes nothing else does, and a set-up out there would wait for its
-        deadline. A switch that is silent on all of them is not judged here.
+        A connection whose stream has stalled delivers nothing more, so a set-up in flight on it would wait
+        for its deadline. A switch that is silent on all its connections is not detected here.
         """
         for other in list(self.connections):
             if reporting.heard_at - other.heard_at < STATUS_SPREAD_US:
@@ -289,6 +282,7 @@
                 self.drop_unresponsive(other)
 
     def drop_unresponsive(self, connection: SwitchConnection) -> None:
+        """Closes the connection, or retires it if it is the only one that leads to a process with calls."""
         log.warning("switch_silent", extra={"exchange": self.exchange, "out": len(connection.in_flight)})
         if self.liveness.is_sole_connection(connection.number) and not self.closed:
             self.retire(connection)
@@ -297,7 +291,7 @@
             connection.close()
 
     def retire(self, connection: SwitchConnection) -> None:
-        """Nothing more is set up on it, but the ends of calls may still come there."""
+        """Stops using the connection for set-ups, but keeps it open for releases of standing calls."""
         self.connections.remove(connection)
         self.retired.append(connection)
         self.log_closed(connection, "retired")
@@ -307,13 +301,14 @@
         self.connect()
 
     def pop_attempt(self, call: str) -> Attempt | None:
-        """The set-up that is out no more, if it was."""
+        """Removes and returns the call's set-up in flight; None if there is none."""
         connection = self.attempt_connections.pop(call, None)
         return None if connection is None else connection.in_flight.pop(call)
 
-    # The connections
+    # Connecting
 
     def connect(self) -> None:
+        """Begins to open one more connection, unless one is being opened or there are enough."""
         if self.closed or self.on_removal_done is not None or self.connect_task is not None:
             return
         if len(self.connections) + len(self.retired) >= MAX_CONNECTIONS:
@@ -333,22 +328,24 @@
                 return
             async with asyncio.timeout(self.connect_s):
                 await loop.create_connection(lambda: SwitchConnection(self), *self.address)
-        except OSError as error:  # a timeout is one too
+        except OSError as error:  # includes TimeoutError
             self.connect_task = None
             self.connect_failed(refused=isinstance(error, ConnectionRefusedError))
 
     def make_connection(self, made: list[SwitchConnection]) -> SwitchConnection:
+        """Protocol factory for the connector, which returns an endpoint but not the protocol."""
         made.append(SwitchConnection(self))
         return made[-1]
 
     def connect_failed(self, refused: bool) -> None:
         log.info("connect_failed", extra={"exchange": self.exchange, "refused": refused})
         for attempt in self.queued_attempts.values():
-            self.post_attempt_over(attempt, api.Outcome.UNREACHED)
+            self.post_attempt_failed(attempt, api.Outcome.UNREACHED)
         self.queued_attempts.clear()
-        if refused and not self.connections:  # proves that nothing runs there
+        if refused and not self.connections:  # proves that no switch process is running
             self.liveness.end_all_calls()
-            self.inbox.post(SwitchDown(self.exchange))  # told last, as what was waiting never left
+            # Posted after the queued set-ups, as these were never sent and must not count as cut.
+            self.inbox.post(SwitchDown(self.exchange))
         self.schedule_reconnect()
 
     def connection_opened(self, connection: SwitchConnection) -> None:
@@ -367,11 +364,11 @@
             if self.gate.may_send(attempt):
                 self.send_attempt(attempt)
             else:
-                self.post_attempt_over(attempt, api.Outcome.NOT_SENT)
+                self.post_attempt_failed(attempt, api.Outcome.NOT_SENT)
         self.connect()
 
     def connection_closed(self, connection: SwitchConnection, why: str) -> None:
-        """The switch gives up the set-ups of a connection that closes; what stands is not touched."""
+        """Fails the set-ups in flight, which the switch drops with the connection; standing calls remain."""
         self.liveness.connection_lost(now_us(), connection.number)
         if connection in self.retired:
             self.retired.remove(connection)
@@ -382,22 +379,21 @@
             self.fail_attempts(connection)
             self.reconnect(connection)
         if self.on_removal_done is not None and not (self.closed or self.connections or self.retired):
-            self.end_calls(self.liveness.end_all_calls(), Ending.SWITCH_REMOVED)
+            self.end_calls(self.liveness.end_all_calls(), EndReason.SWITCH_REMOVED)
             self.close_unneeded()
 
     def fail_attempts(self, connection: SwitchConnection) -> None:
         for attempt in connection.in_flight.values():
             del self.attempt_connections[attempt.call]
-            self.post_attempt_over(attempt, api.Outcome.CUT)
+            self.post_attempt_failed(attempt, api.Outcome.CUT)
         connection.in_flight.clear()
 
     def reconnect(self, connection: SwitchConnection) -> None:
+        """Replaces a lost connection: at once if it had received data, otherwise after the backoff."""
         if connection.heard_at > connection.opened_at:
             self.backoff_s = RECONNECT_MIN_S
             self.connect()
-        elif (
-            self.connect_task is None
-        ):  # one that is reset while new, each time, is not asked for without a pause
+        elif self.connect_task is None:  # closed before it received anything, which may happen every time
             if self.connector is not None and connection.endpoint is not None:
                 self.connector.connection_reset(connection.endpoint)
             self.schedule_reconnect()
@@ -423,38 +419,38 @@
                 self.reconnect_timer.cancel()
             self.reconnect_timer = asyncio.get_running_loop().call_later(wait, self.connect)
 
-    def post_attempt_over(self, attempt: Attempt, outcome: api.Outcome) -> None:
-        self.inbox.post(AttemptEnded(self.exchange, attempt.call, attempt.number, outcome))
+    def post_attempt_failed(self, attempt: Attempt, outcome: api.Outcome) -> None:
+        self.inbox.post(AttemptFailed(self.exchange, attempt.call, attempt.number, outcome))
 
-    # The end
+    # Removal and close
 
-    def remove(self, on_empty: Callable[[], None]) -> None:
-        """Discovery has removed the switch. Calls that stand stay until their ends are told, or it is silent.
+    def remove(self, on_removal_done: Callable[[], None]) -> None:
+        """Discovery has removed the switch. Standing calls remain until released or their lease expires.
 
-        `on_empty` is called once, when the link is closed.
+        `on_removal_done` is called once, when the link is closed.
         """
-        self.on_removal_done = on_empty
+        self.on_removal_done = on_removal_done
         self.liveness.switch_removed(now_us())
         self.cancel_reconnect()
         if self.connections or self.retired:
-            self.verify_alive()  # closes what carries no calls
+            self.verify_alive()  # also closes connections that carry no calls
         else:
-            self.end_calls(self.liveness.end_all_calls(), Ending.SWITCH_REMOVED)
+            self.end_calls(self.liveness.end_all_calls(), EndReason.SWITCH_REMOVED)
             self.close_unneeded()
 
     def restore(self) -> None:
-        """Discovery lists the switch again, before all was over."""
+        """Discovery lists the switch again before its link was closed."""
         self.on_removal_done = None
         self.liveness.switch_restored()
         self.connect()
 
     def abandon(self) -> None:
-        """The switch's machine is another one now: what stands here is over."""
-        self.end_calls(self.liveness.end_all_calls(), Ending.SWITCH_REMOVED)
+        """The switch has moved to another machine: ends the standing calls and closes the link."""
+        self.end_calls(self.liveness.end_all_calls(), EndReason.SWITCH_REMOVED)
         self.close()
 
     def close(self) -> None:
-        """Lets go of everything; calls that stand are not told of."""
+        """Closes all connections and timers, without ending the standing calls towards their callers."""
         self.closed = True
         self.cancel_reconnect()
         self.schedule_liveness_check()
@@ -468,5 +464,5 @@
 
 
 def close_line(call: str, cause: int) -> bytes:
-    """The line that gives up a set-up or releases a call."""
+    """Encodes the line that cancels a set-up or releases a call."""
     return jsonlines.encode("close", call, {}, code=cause)
--- a/rowanmast/net/sip.py
+++ b/rowanmast/net/sip.py
@@ -1,4 +1,4 @@
-"""SIP over TCP (RFC 3261), as far as callers speak it: a codec without sockets."""
+"""Codec of SIP over TCP (RFC 3261), limited to what callers use; does no I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 }
 ECHOED_HEADERS = {"via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq"}
 FOLD_CHARACTERS = (" ", "\t")
-BLANK_LINES = re.compile(rb"[\r\n]*")  # RFC 3261, 7.5: empty lines between messages
+BLANK_LINES = re.compile(rb"[\r\n]*")  # allowed between messages (RFC 3261, section 7.5)
 REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
@@ -30,12 +30,12 @@
 
 
 class SipError(ValueError):
-    """The bytes are no SIP message that we take."""
+    """A message is malformed or too long."""
 
 
 @dataclass(slots=True)
 class Message:
-    """A request (its method and address) or, with a status, a response."""
+    """A request (method and URI), or a response if `status` is not 0."""
 
     method: str
     uri: str
@@ -57,18 +57,18 @@
 
     @property
     def user(self) -> str:
-        """The number in the address: what stands between the scheme and the host."""
+        """The called number: the URI's part between the scheme and the host."""
         return self.uri.partition(":")[2].partition("@")[0]
 
 
 class Parser:
-    """Cuts a stream of bytes into messages."""
+    """Incremental parser: splits a byte stream into messages."""
 
     def __init__(self) -> None:
         self.buffer = b""
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """The messages that are whole now; after them, SipError if the stream can't be read on."""
+        """Yields the messages that are complete now, then raises SipError if the next one is malformed."""
         buffer, at = self.buffer + data, 0
         while True:
             blank = BLANK_LINES.match(buffer, at)
@@ -91,7 +91,7 @@
 
 
 def parse_head(head: bytes) -> tuple[Message, int]:
-    """The message without its body, and the length of that in bytes."""
+    """Parses first line and headers; returns the message without its body, and the body's length in bytes."""
     try:
         first, *lines = head.decode().split("\r\n")
     except UnicodeDecodeError:
@@ -108,22 +108,22 @@
         name, colon, value = line.partition(":")
         name = name.strip().lower()
         if not (colon and name):
-            raise SipError("a header without a colon")
+            raise SipError("header line without a colon")
         name = COMPACT_FORMS.get(name, name)
         value = value.strip()
         headers.append((name, value))
         if fields.setdefault(name, value) != value and name == "content-length":
-            raise SipError("no one Content-Length")
+            raise SipError("conflicting Content-Length headers")
     length = fields.get("content-length", "")
     if not length:
-        raise SipError("no one Content-Length")
+        raise SipError("no Content-Length header")
     if not (length.isascii() and length.isdigit() and len(length) < 10):
-        raise SipError("Content-Length is no number")
+        raise SipError("Content-Length is not a number")
     parts = first.split(" ", 2)
     if len(parts) == 3 and parts[0] == "SIP/2.0" and parts[1].isascii() and parts[1].isdigit():
         return Message("", "", int(parts[1]), headers, fields), int(length)
     if len(parts) != 3 or parts[2] != "SIP/2.0" or not parts[0].isalpha():
-        raise SipError("first line is neither a request's nor a response's")
+        raise SipError("malformed request or status line")
     return Message(parts[0], parts[1], 0, headers, fields), int(length)
 
 
--- a/rowanmast/net/stream.py
+++ b/rowanmast/net/stream.py
@@ -1,4 +1,4 @@
-"""What the TCP connections to callers and to switches have in common."""
+"""The common base of the TCP connections to callers and to switches."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Stream(asyncio.Protocol):
-    """A connection whose other side may leave `most_unread` bytes unread before it is closed."""
+    """A connection that is aborted when its peer leaves `max_write_buffer` bytes unread."""
 
     def __init__(self, peer_name: str, max_write_buffer: int) -> None:
         self.peer_name = peer_name
@@ -21,17 +21,17 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class does not derive from it
         self.transport.set_write_buffer_limits(high=self.max_write_buffer)
 
     def pause_writing(self) -> None:
-        """The bound is reached: the connection is given up before it costs more memory."""
+        """Aborts the connection of a peer that does not read, which bounds the memory it uses."""
         log.warning("slow_reader", extra={"other_side": self.peer_name})
         if self.transport is not None:
             self.transport.abort()
 
     def read_messages(self, messages: Iterator[Message]) -> Iterator[Message]:
-        """Whole messages as a parser finds them; where one can't be read, the connection is closed."""
+        """Yields the messages that a parser finds; closes the connection at one that is malformed."""
         try:
             yield from messages
         except ValueError as error:
--- a/rowanmast/options/__init__.py
+++ b/rowanmast/options/__init__.py
@@ -1,1 +1,1 @@
-"""Our own settings: one checked file in protobuf text format."""
+"""Rowanmast's own settings, read from one file in protobuf text format."""
--- a/rowanmast/routes.py
+++ b/rowanmast/routes.py
@@ -1,4 +1,4 @@
-"""The figures of a set-up, such as dest:2;width:1;via:-1, in which both fronts carry its route."""
+"""Parses the route of a set-up, such as dest:2;width:1;via:-1, as SIP and IAX2 callers send it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 def parse_integer(text: str) -> int:
-    """A whole number of up to nine digits; `int` alone also takes 1_000 and digits of any script."""
+    """An integer of up to nine ASCII digits; `int` alone also accepts 1_000 and digits of any script.
+
+    Raises ValueError. Its text reaches IAX2 callers and HTTP clients, so it has to stay as it is.
+    """
     digits = text.removeprefix("-")
     if not (digits.isascii() and digits.isdigit() and len(digits) <= 9):
         raise ValueError(f"{text[:20]!r} is no figure")
@@ -14,25 +17,28 @@
 
 
 def parse_route(text: str, redialled: bool = False) -> Route:
-    """The route in such figures; `redialled` where the wire says that elsewhere. Raises ValueError."""
-    figures: dict[str, int] = {}
+    """Parses such a route; `redialled` if the protocol states that elsewhere.
+
+    Raises ValueError. Its text reaches IAX2 callers in a REJECT, so it has to stay as it is.
+    """
+    fields: dict[str, int] = {}
     for part in text.split(";"):
         if not part.strip():
             continue
         name, colon, value = part.strip().partition(":")
         if not colon:
             raise ValueError(f"route figure {part[:20]!r} has no value")
-        figures[name.strip()] = parse_integer(value.strip())
-    if "dest" not in figures:
+        fields[name.strip()] = parse_integer(value.strip())
+    if "dest" not in fields:
         raise ValueError("the route names no destination")
-    if figures["dest"] < 0 or figures.get("width", 1) < 1:
+    if fields["dest"] < 0 or fields.get("width", 1) < 1:
         raise ValueError("destination or width is out of range")
-    via = figures.get("via", -1)
+    via = fields.get("via", -1)
     return Route(
-        dest=figures["dest"],
-        width=figures.get("width"),
+        dest=fields["dest"],
+        width=fields.get("width"),
         via=None if via < 0 else via,
-        redialled=redialled or figures.get("redial") == 1,
-        transit=figures.get("transit") == 1,
-        again=figures.get("again") == 1,
+        redialled=redialled or fields.get("redial") == 1,
+        transit=fields.get("transit") == 1,
+        again=fields.get("again") == 1,
     )
--- a/rowanmast/trials/routers.py
+++ b/rowanmast/trials/routers.py
@@ -1,4 +1,4 @@
-"""Router processes of a trial: started as the platform starts them, ended by signals, their logs kept."""
+"""Router processes of a trial: started as the platform does, stopped by signals, with their logs recorded."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RouterProcess:
-    """One router: `name` and `listen` stay the same over restarts."""
+    """One router, whose `name` and `listen` address survive restarts of its process."""
 
     def __init__(self, name: str, number: int, listen: tuple[str, int], folder: Path) -> None:
         self.name = name
@@ -29,11 +29,11 @@
         self.log_reader: asyncio.Task[None] | None = None
         self.ready = asyncio.Event()
         self.starts = 0
-        self.is_killed = False  # SIGKILL was sent: it owes nothing any more
-        self.is_restarting = False  # a fault that ends it is being played
+        self.is_killed = False  # SIGKILL was sent, so no answers or releases are expected
+        self.is_restarting = False  # a fault that ends the process is in progress
 
     def configure(self, changelog: tuple[str, int], known: dict[str, Any], deadline_s: float) -> None:
-        """Writes the configuration as the platform does."""
+        """Writes the configuration file in the platform's form."""
         settings = settings_document()
         settings["services"][0] |= {"name": CALL_CLASS, "hard_limit_ns": int(deadline_s * 1e9)}
         settings["family_info"]["self_no"] = self.number
@@ -84,7 +84,7 @@
             self.process.send_signal(number)
 
     async def wait_for_exit(self, within_s: float) -> int | None:
-        """The exit code, or None if the process is still running by then."""
+        """Returns the exit code, or None if the process still runs after `within_s`."""
         assert self.process is not None
         try:
             return await asyncio.wait_for(self.process.wait(), within_s)
@@ -92,7 +92,7 @@
             return None
 
     async def kill(self) -> None:
-        """Ends the process at once and waits until it is gone."""
+        """Kills the process and waits for its exit."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
--- a/rowanmast/wirehost.py
+++ b/rowanmast/wirehost.py
@@ -1,7 +1,8 @@
-"""Hosts call agents on the simulator's wire: JSON lines in, JSON lines out, translation only.
+"""Runs call agents under the simulator: translates its JSON lines to events and actions to JSON lines.
 
-This is the only file that knows the wire's words. Each instance has an agent of its own; the
-instances share nothing but the numbered lists, which the wire defines once for all of them.
+Each input line is a batch of events, and each output line has the decisions on one batch. Only this module
+knows the simulator's protocol. Each instance has an agent of its own; instances share nothing but the
+numbered lists of exchanges, which the protocol defines once for all of them.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 from rowanmast import interface as api
 from rowanmast.call_agent import CallAgent
-from rowanmast.settings import index_by_name, integer, optional_number, read_report, read_settings
+from rowanmast.settings import get_integer, index_by_name, optional_number, read_report, read_settings
 
 Fields = dict[str, Any]
 
@@ -45,8 +46,10 @@
     4: api.Cause.LINES_BUSY,
     18: api.Cause.DESTINATION_FULL,
 }
+# Bits of the field `marks` of a call.
 MARK_REDIALLED, MARK_TRANSIT, MARK_AGAIN = 2, 8, 16
 
+# Types of fields, as error messages name them.
 INT, TEXT, BOOL, LIST, MAP = "an integer", "text", "a boolean", "an array", "an object"
 REQUIRED_FIELDS: dict[str, dict[str, str]] = {
     "open_instance": {"who": INT, "entropy": INT, "info": MAP},
@@ -79,38 +82,40 @@
 
 
 class InputError(Exception):
-    """The input breaks the wire's form; the text says how."""
+    """The input violates the protocol; the message says where."""
 
 
-def has_type(value: Any, kind: str) -> bool:
-    if kind == INT:
+def has_type(value: Any, type_name: str) -> bool:
+    """Whether the value is of this type; a float without a fraction counts as an integer."""
+    if type_name == INT:
         return (isinstance(value, int) and not isinstance(value, bool)) or (
             isinstance(value, float) and value.is_integer()
         )
-    return isinstance(value, {TEXT: str, BOOL: bool, LIST: list, MAP: dict}[kind])
+    return isinstance(value, {TEXT: str, BOOL: bool, LIST: list, MAP: dict}[type_name])
 
 
 def validate(name: str, fields: Any) -> Fields:
-    """The event's fields, once every known one is there and of its type."""
+    """Returns the event's fields. Raises InputError if a required one is absent or one is of a wrong type."""
     if not isinstance(fields, dict):
         raise InputError(f"event {name}: its fields are not an object")
-    for field, kind in REQUIRED_FIELDS[name].items():
+    for field, type_name in REQUIRED_FIELDS[name].items():
         if field not in fields or fields[field] is None:
             raise InputError(f"event {name}: field {field} is missing")
-        if not has_type(fields[field], kind):
-            raise InputError(f"event {name}: field {field} is not {kind}")
-    for field, kind in OPTIONAL_FIELDS.get(name, {}).items():
-        if fields.get(field) is not None and not has_type(fields[field], kind):
-            raise InputError(f"event {name}: field {field} is not {kind}")
+        if not has_type(fields[field], type_name):
+            raise InputError(f"event {name}: field {field} is not {type_name}")
+    for field, type_name in OPTIONAL_FIELDS.get(name, {}).items():
+        if fields.get(field) is not None and not has_type(fields[field], type_name):
+            raise InputError(f"event {name}: field {field} is not {type_name}")
     return fields
 
 
 def read_entry(line: Any) -> api.ListEntry:
+    """Decodes one entry of a list of exchanges. Raises InputError."""
     if not isinstance(line, dict):
         raise InputError("event define_list: an entry is not an object")
-    for field, kind in ENTRY_FIELDS.items():
-        if not has_type(line.get(field), kind):
-            raise InputError(f"event define_list: field {field} of an entry is missing or not {kind}")
+    for field, type_name in ENTRY_FIELDS.items():
+        if not has_type(line.get(field), type_name):
+            raise InputError(f"event define_list: field {field} of an entry is missing or not {type_name}")
     if line["condition"] not in STATES:
         raise InputError("event define_list: field condition of an entry is not a known state")
     zone = line.get("failure_domain")
@@ -119,11 +124,12 @@
         number=int(line["place_no"]),
         zone=zone if isinstance(zone, str) else None,
         state=STATES[line["condition"]],
-        started_ns=integer(line, "launched_ns") or None,
+        started_ns=get_integer(line, "launched_ns") or None,
     )
 
 
 def write_action(who: int, action: api.Action) -> Fields:
+    """Encodes an action of instance `who` as a decision."""
     name: str
     fields: Fields
     match action:
@@ -150,7 +156,7 @@
 
 
 class Instance:
-    """One agent with the names of its classes and tenants."""
+    """One agent of the simulation, with the indices of its classes and tenants by name."""
 
     def __init__(self, info: Fields, seed: int) -> None:
         self.agent = CallAgent(read_settings(info), seed)
@@ -158,8 +164,9 @@
         self.tenants = index_by_name(info.get("accounts"))
 
     def read_call(self, fields: Fields) -> api.Call:
+        """Decodes a call. An unknown class becomes -1, so the agent refuses the call."""
         marks = int(fields.get("marks") or 0)
-        width, via = optional_number(fields.get("circuits")), optional_number(fields.get("advised_route"))
+        width, advised = optional_number(fields.get("circuits")), optional_number(fields.get("advised_route"))
         dest = optional_number(fields.get("dest"))
         return api.Call(
             call=fields["op_id"],
@@ -169,7 +176,7 @@
             remaining_ns=int(fields["remaining_ns"]),
             dest=-1 if dest is None else int(dest),
             width=None if width is None else int(width),
-            advised=None if via is None else int(via),
+            advised=None if advised is None else int(advised),
             redialled=bool(marks & MARK_REDIALLED),
             transit=bool(marks & MARK_TRANSIT),
             again=bool(marks & MARK_AGAIN),
@@ -177,17 +184,22 @@
 
 
 def read_ended(fields: Fields) -> api.AttemptEnded:
+    """Decodes an ended attempt.
+
+    The low four bits of the cause give the cause itself; cause 3 may have a retry-after time in milliseconds
+    in the bits above.
+    """
     cause = int(fields.get("cause") or 0)
     if fields["rc"] not in OUTCOMES:
         raise InputError("event settled: field rc is not a known outcome")
-    wait = cause >> 4 if cause & 15 == 3 else 0
+    wait_ms = cause >> 4 if cause & 15 == 3 else 0
     return api.AttemptEnded(
         call=fields["op_id"],
         attempt=int(fields["send_no"]),
         exchange=fields["exchange"],
         outcome=OUTCOMES[fields["rc"]],
-        cause=CAUSES.get(3 if wait else cause),
-        retry_after_ns=wait * 1_000_000 or None,
+        cause=CAUSES.get(3 if wait_ms else cause),
+        retry_after_ns=wait_ms * 1_000_000 or None,
         final=fields["terminal"],
         delay_ns=int(fields["delay_seen_ns"]),
         report=read_report(fields.get("metrics")),
@@ -195,12 +207,14 @@
 
 
 def read_answered(fields: Fields) -> api.CallAnswered:
+    """Decodes an answered attempt."""
     return api.CallAnswered(
         fields["op_id"], int(fields["send_no"]), fields["exchange"], int(fields["delay_seen_ns"])
     )
 
 
 def read_load_reported(fields: Fields) -> api.LoadReported:
+    """Decodes the result of a probe."""
     report = read_report(fields.get("metrics"))
     return api.LoadReported(
         fields["exchange"], fields["rc"] == "completed", int(fields["delay_seen_ns"]), report
@@ -217,13 +231,14 @@
 
 
 class Host:
-    """Takes batches and gives replies; holds the instances and the numbered lists."""
+    """Handles batches of events. Owns the instances and the numbered lists."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self.lists: dict[int, tuple[api.ListEntry, ...]] = {}
 
     def handle_batch(self, line: str) -> str:
+        """Handles one input line and returns the reply line. Raises InputError."""
         try:
             batch = json.loads(line)
         except ValueError:
@@ -242,6 +257,7 @@
         return json.dumps({"decisions": decisions}, separators=(",", ":"))
 
     def handle_event(self, now_ns: int, name: str, fields: Fields, decisions: list[Fields]) -> None:
+        """Handles one event and appends the decisions; an exception in an agent becomes a `give_in`."""
         if name == "define_list":
             self.lists[fields["ref"]] = tuple(read_entry(line) for line in fields["lines"])
             return
@@ -260,6 +276,7 @@
             decisions.append({"give_in": {"who": who, "message": f"{type(error).__name__}: {error}"}})
 
     def decode_event(self, name: str, who: int, fields: Fields) -> api.Event | None:
+        """Decodes an event for an agent; None if there is no such instance or no agent handles the event."""
         instance = self.instances.get(who)
         if instance is None:
             return None
@@ -270,23 +287,25 @@
         return EVENT_DECODERS[name](fields) if name in EVENT_DECODERS else None
 
     def read_list(self, fields: Fields) -> api.ExchangeList:
+        """Decodes a list event, which refers to a numbered list. Raises InputError."""
         if fields["how"] not in LIST_KINDS:
             raise InputError("event sync: field how is not a known kind")
         kind = LIST_KINDS[fields["how"]]
         if kind is api.ListKind.FAILED:
             return api.ExchangeList(kind, ())
         if fields.get("ref") not in self.lists:
-            raise InputError("event sync: field ref names no list")
+            raise InputError("event sync: field ref refers to no defined list")
         return api.ExchangeList(kind, self.lists[fields["ref"]])
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
+    """Answers each input line. Returns 0 at the end of input, 1 after a line that violates the protocol."""
     host = Host()
-    for count, line in enumerate(source, 1):
+    for number, line in enumerate(source, 1):
         try:
             reply = host.handle_batch(line)
         except InputError as error:
-            print(f"line {count}: {error}", file=errors)
+            print(f"line {number}: {error}", file=errors)
             return 1
         sink.write(reply + "\n")
         sink.flush()
