--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -1,4 +1,4 @@
-"""The embedded router as hosts use it, and as they misuse it. Switches live in a process of their own."""
+"""The embedded router with correct and faulty hosts. The switches run in a separate process."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 def wait_until(condition: Callable[[], bool], within_s: float = 5.0) -> None:
     end = time.monotonic() + within_s
     while not condition():
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < end, "condition not met in time"
         time.sleep(0.01)
 
 
@@ -93,7 +93,7 @@
         yield fleet
         report = fleet.report()
         assert report["violations"] == []
-        assert report["in_flight"] == 0, "no set-up is left out"
+        assert report["in_flight"] == 0, "a set-up is still in flight"
 
 
 @pytest.fixture
@@ -103,10 +103,10 @@
         yield router
         router.close(0.0)
         assert router.counts() == (0, 0)
-        assert fleet.report()["standing"] == 0, "what stood is released at the switches"
+        assert fleet.report()["standing"] == 0, "a call was not released at its switch"
 
 
-def test_a_thread_places_a_call_and_releases_it(fleet: Fleet, router: EmbeddedRouter) -> None:
+def test_thread_places_call_and_releases_it(fleet: Fleet, router: EmbeddedRouter) -> None:
     with router.call_blocking(make_request()) as call:
         assert call.text == "at s1" and call.ending is None
         assert router.counts() == (0, 1)
@@ -115,11 +115,11 @@
     ending = call.wait(1.0)
     assert (ending.by, ending.cause) == (EndedBy.HOST, 16)
     wait_until(lambda: fleet.report()["standing"] == 0)
-    call.release()  # again: nothing happens
+    call.release()  # a second release has no effect
     assert router.counts() == (0, 0)
 
 
-def test_a_task_hears_of_the_switchs_release_and_of_a_cut(fleet: Fleet, router: EmbeddedRouter) -> None:
+def test_task_is_notified_of_release_by_switch_and_of_cut(fleet: Fleet, router: EmbeddedRouter) -> None:
     async def test() -> None:
         fleet.command("hold", 0.05)
         async with router.call(make_request()) as call:
@@ -134,7 +134,7 @@
     asyncio.run(test())
 
 
-def test_outcomes_are_values_and_errors_are_a_family(fleet: Fleet, router: EmbeddedRouter) -> None:
+def test_refusals_and_invalid_requests(fleet: Fleet, router: EmbeddedRouter) -> None:
     refused = router.place_blocking(make_request(dest=77))
     assert isinstance(refused, Refused) and refused.retry_after == 1
     with pytest.raises(CallRefused) as caught, router.call_blocking(make_request(dest=77)):
@@ -156,35 +156,36 @@
         router.submit(CallRequest("7", 1, "odd", 1.0))
 
 
-def test_a_silent_switch_is_given_up_in_time_and_says_when_to_come_back(
+def test_call_to_unresponsive_switch_is_refused_in_time_with_retry_after(
     fleet: Fleet, router: EmbeddedRouter
 ) -> None:
     fleet.command("mute", "s1")
-    begun = time.monotonic()
+    started = time.monotonic()
     outcome = router.place_blocking(make_request(wait_s=0.4))
     assert isinstance(outcome, Refused) and outcome.retry_after >= 1
-    assert 0.3 < time.monotonic() - begun < 0.5
+    assert 0.3 < time.monotonic() - started < 0.5
 
 
-def test_cancelling_a_task_at_every_await_in_turn_leaves_nothing(
-    fleet: Fleet, router: EmbeddedRouter
-) -> None:
-    """The task is cancelled after 0, 1, 2, ... turns of its loop, then after so many milliseconds."""
+def test_cancelling_task_at_any_await_leaves_no_call(fleet: Fleet, router: EmbeddedRouter) -> None:
+    """A call must not stay open or standing, whichever await of its task is interrupted.
+
+    The task is cancelled after 0 to 11 iterations of its loop, then after 0 to 38 ms.
+    """
 
-    async def whole() -> None:
+    async def place_and_wait() -> None:
         async with router.call(make_request()) as call:
             await asyncio.sleep(0.004)
             await asyncio.wait({asyncio.ensure_future(call.over())}, timeout=0.004)
 
     async def test() -> None:
         for turns in range(12):
-            task = asyncio.ensure_future(whole())
+            task = asyncio.ensure_future(place_and_wait())
             for _ in range(turns):
                 await asyncio.sleep(0)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
         for wait_ms in range(0, 40, 2):
-            task = asyncio.ensure_future(whole())
+            task = asyncio.ensure_future(place_and_wait())
             await asyncio.sleep(wait_ms / 1000)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
@@ -196,7 +197,7 @@
     wait_until(lambda: fleet.report()["standing"] == fleet.report()["in_flight"] == 0)
 
 
-def test_a_cancel_that_crosses_the_answer_releases_the_switch(fleet: Fleet, router: EmbeddedRouter) -> None:
+def test_cancel_that_crosses_answer_releases_call_at_switch(fleet: Fleet, router: EmbeddedRouter) -> None:
     for wait in (0.0, 0.005, 0.009, 0.0095, 0.01, 0.0105, 0.011, 0.012, 0.015):
         ticket = router.submit(make_request())
         time.sleep(wait)
@@ -208,7 +209,7 @@
     wait_until(lambda: fleet.report()["standing"] == 0)
 
 
-def test_a_host_that_never_collects_loses_its_call(
+def test_uncollected_call_is_released(
     fleet: Fleet, router: EmbeddedRouter, caplog: pytest.LogCaptureFixture
 ) -> None:
     ticket = router.submit(make_request())
@@ -216,10 +217,12 @@
     wait_until(lambda: router.counts() == (0, 0), 1.0)
     assert [record.getMessage() for record in caplog.records] == ["outcome_not_collected"]
     late = ticket.result()
-    assert isinstance(late, Stands) and late.call.wait(1).by is EndedBy.HOST, "it hears that it is over"
+    assert isinstance(late, Stands) and late.call.wait(1).by is EndedBy.HOST, (
+        "the late host is not told of the end"
+    )
 
 
-def test_a_standing_call_that_is_dropped_is_released(
+def test_garbage_collected_standing_call_is_released(
     fleet: Fleet, router: EmbeddedRouter, caplog: pytest.LogCaptureFixture
 ) -> None:
     outcome: Any = router.place_blocking(make_request())
@@ -231,7 +234,9 @@
     wait_until(lambda: fleet.report()["standing"] == 0)
 
 
-def test_a_loop_closed_under_us_releases_what_it_waited_for(fleet: Fleet, router: EmbeddedRouter) -> None:
+def test_closed_loop_does_not_affect_other_calls_and_its_call_is_answered(
+    fleet: Fleet, router: EmbeddedRouter
+) -> None:
     fleet.command("mute", "s1")
     loop = asyncio.new_event_loop()
     waiting = router.place(make_request(wait_s=0.5))
@@ -242,13 +247,13 @@
     loop.close()
     fleet.command("unmute", "s1")
     other = router.submit(make_request("72", dest=2))
-    assert isinstance(other.result(1.0), Stands), "others are not touched"
+    assert isinstance(other.result(1.0), Stands), "another call is affected"
     wait_until(lambda: router.counts()[0] == 0, 1.0)
-    assert held.ticket is None or held.ticket.future.value is not None, "it was answered all the same"
+    assert held.ticket is None or held.ticket.future.value is not None, "the call was not answered"
     del task, waiting
 
 
-def test_an_answer_to_a_closed_loop_is_released_at_the_switch(fleet: Fleet, router: EmbeddedRouter) -> None:
+def test_answer_to_closed_loop_is_released_at_switch(fleet: Fleet, router: EmbeddedRouter) -> None:
     loop = asyncio.new_event_loop()
     task = loop.create_task(router.place(make_request()))
     loop.run_until_complete(asyncio.sleep(0))
@@ -259,12 +264,12 @@
     del task
 
 
-def test_a_flood_is_refused_at_once_and_costs_no_memory(fleet: Fleet, router: EmbeddedRouter) -> None:
+def test_calls_beyond_bounds_are_refused_at_once_and_not_stored(fleet: Fleet, router: EmbeddedRouter) -> None:
     for name in ("s1", "s2", "s3"):
         fleet.command("mute", name)
-    begun = time.monotonic()
+    started = time.monotonic()
     tickets = [router.submit(make_request(str(at), wait_s=0.5)) for at in range(5000)]
-    took = time.monotonic() - begun
+    took = time.monotonic() - started
     answered = [ticket for ticket in tickets if ticket.future.value is not None]
     assert len(answered) >= 4950 and took < 1.0
     assert all(ticket.result() == Refused(1.0) for ticket in answered[:4000])
@@ -273,16 +278,14 @@
     assert all(isinstance(outcome, Refused) for outcome in outcomes)
 
 
-def test_in_a_forked_child_the_router_is_closed_and_the_parents_goes_on(
-    fleet: Fleet, router: EmbeddedRouter
-) -> None:
+def test_router_is_closed_in_forked_child_and_works_in_parent(fleet: Fleet, router: EmbeddedRouter) -> None:
     call = router.place_blocking(make_request())
     assert isinstance(call, Stands)
     fleet.command("mute", "s2")
     waiting = router.submit(make_request("72", dest=2, wait_s=2.0))
     read, write = os.pipe()
     child = os.fork()
-    if child == 0:  # only what the test is about, then out, with no clean-up of the parent's
+    if child == 0:  # exits without running the parent's clean-up
         try:
             with pytest.raises(RouterClosed):
                 router.submit(make_request())
@@ -294,17 +297,17 @@
         finally:
             os._exit(0)
     os.close(write)
-    said = os.read(read, 10)
+    result = os.read(read, 10)
     os.close(read)
     os.waitpid(child, 0)
-    assert said == b"fine"
-    assert call.call.ending is None, "the child's end did not touch it"
+    assert result == b"fine"
+    assert call.call.ending is None, "the child's exit ended the parent's call"
     assert isinstance(router.place_blocking(make_request("73", dest=3)), Stands)
     call.call.release()
     waiting.cancel()
 
 
-def test_a_worker_opens_the_router_that_its_parent_made_before_the_fork(fleet: Fleet) -> None:
+def test_forked_worker_opens_router_made_by_its_parent(fleet: Fleet) -> None:
     router = EmbeddedRouter(make_config(fleet))
     child = os.fork()
     if child == 0:
@@ -323,7 +326,8 @@
     assert fleet.report()["standing"] == 0 and fleet.report()["arrivals"]["s1"]
 
 
-def test_a_fork_does_not_keep_the_parents_connections_open(fleet: Fleet) -> None:
+def test_forked_child_does_not_keep_parents_connections_open(fleet: Fleet) -> None:
+    """The child inherits the sockets; while it keeps them open, peers see no end of the connections."""
     (port,) = free_ports(1)
     router = EmbeddedRouter(make_config(fleet), iax=IaxConfig(("127.0.0.1", port), {}))
     router.open()
@@ -370,8 +374,8 @@
         ("os.kill(os.getpid(), 9)", False),
     ],
 )
-def test_a_host_that_dies_in_the_middle_of_200_standing_calls(fleet: Fleet, end: str, released: bool) -> None:
-    """However the interpreter exits, every switch is released; a kill leaves no set-up out."""
+def test_host_exit_with_200_standing_calls(fleet: Fleet, end: str, released: bool) -> None:
+    """Every interpreter exit releases the calls at their switches. SIGKILL leaves no set-up in flight."""
     host, port = fleet.changelog
     code = HOST_SCRIPT.format(tests=str(ROOT / "tests"), host=host, port=port, end=end)
     process = subprocess.Popen(
@@ -393,7 +397,7 @@
     assert fleet.report()["standing"] == (0 if released else 200)
 
 
-def test_closing_answers_what_is_open_and_releases_what_stands(fleet: Fleet) -> None:
+def test_close_answers_open_calls_and_releases_standing_calls(fleet: Fleet) -> None:
     fleet.command("mute", "s2")
     router = EmbeddedRouter(make_config(fleet))
     with pytest.raises(RouterClosed):
@@ -406,11 +410,11 @@
     waiting = router.submit(make_request("72", dest=2, wait_s=9.0))
     assert isinstance(stands, Stands)
     router.drain()
-    assert router.place_blocking(make_request("73")) == Refused(1.0), "a draining router takes nothing new"
-    assert stands.call.ending is None, "but goes on with what it has"
-    begun = time.monotonic()
+    assert router.place_blocking(make_request("73")) == Refused(1.0), "a draining router took a new call"
+    assert stands.call.ending is None, "draining ended a standing call"
+    started = time.monotonic()
     router.close(0.2)
-    assert time.monotonic() - begun < 1.0
+    assert time.monotonic() - started < 1.0
     assert waiting.result(0) == Failed(Failure.CANCELLED)
     assert stands.call.wait(0).by is EndedBy.CUT
     router.close()
@@ -419,9 +423,7 @@
     assert threading.active_count() < 20 and not router.thread.is_alive()  # type: ignore[union-attr]
 
 
-def test_a_fault_of_the_routers_thread_leaves_nobody_waiting(
-    fleet: Fleet, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_fault_in_router_thread_resolves_all_waiters(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> None:
     router = EmbeddedRouter(make_config(fleet))
     router.open()
     wait_connected(router, 3)
@@ -444,7 +446,7 @@
     assert isinstance(router.failure, MemoryError)
 
 
-def test_an_open_that_fails_says_why_and_leaves_no_thread(fleet: Fleet) -> None:
+def test_failed_open_raises_its_cause_and_leaves_no_thread(fleet: Fleet) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
         router = EmbeddedRouter(make_config(fleet), iax=IaxConfig(taken.getsockname(), {}))
@@ -455,10 +457,10 @@
         router.submit(make_request())
 
 
-def test_log_lines_of_two_routers_are_told_apart(fleet: Fleet) -> None:
+def test_log_lines_name_their_router(fleet: Fleet) -> None:
     lines: dict[str, list[str]] = {"n1": [], "n2": []}
 
-    class Keep(logging.Handler):
+    class LineCollector(logging.Handler):
         def __init__(self, name: str) -> None:
             super().__init__()
             self.lines = lines[name]
@@ -469,7 +471,7 @@
             self.lines.append(self.format(record))
 
     logger = logging.getLogger("rowanmast")
-    handlers = [Keep(name) for name in lines]
+    handlers = [LineCollector(name) for name in lines]
     level = logger.level
     logger.setLevel(logging.INFO)
     for handler in handlers:
@@ -481,11 +483,11 @@
         logger.setLevel(level)
         for handler in handlers:
             logger.removeHandler(handler)
-    for name, said in lines.items():
-        assert said and all(f" router={name}" in line for line in said)
+    for name, logged in lines.items():
+        assert logged and all(f" router={name}" in line for line in logged)
 
 
-# Hosts that block, at load
+# Hosts that block under load
 
 
 def block_loop(loop: asyncio.AbstractEventLoop, span_s: float) -> None:
@@ -493,7 +495,7 @@
 
 
 def use_cpu(span_s: float) -> None:
-    """A long loop in pure Python that holds the interpreter as much as it can."""
+    """Runs a pure Python loop, which competes for the GIL."""
     end = time.monotonic() + span_s
     count = 0
     while time.monotonic() < end:
@@ -501,92 +503,96 @@
             count += 1
 
 
-def test_a_host_that_blocks_again_and_again_at_load_breaks_no_rule() -> None:
-    """The loop sleeps 500 ms, threads compute 500 ms; switches reset, drain, fall silent and vanish."""
+def test_blocking_host_under_load_breaks_no_rule() -> None:
+    """Every call must be answered by its deadline, and switches must see no broken rule.
+
+    The host's loop blocks for 500 ms and its threads compute for 500 ms, while switches reset connections,
+    drain, become unresponsive and fail.
+    """
     with Fleet([1, 2, 3, 4, 5], hold_s=0.1) as fleet:
         router = EmbeddedRouter(make_config(fleet), bounds=Bounds(max_open=400))
         router.open()
         wait_connected(router, 5)
         finals: list[tuple[float, Ticket]] = []
         random = Random(3)
-        over = threading.Event()
+        stopped = threading.Event()
 
         def offer() -> None:
-            at = 0
-            while not over.is_set():
+            index = 0
+            while not stopped.is_set():
                 wait = random.choice((0.6, 1.0, 3.0))
-                ticket = router.submit(make_request(f"t{at}", dest=1 + at % 5, wait_s=wait))
+                ticket = router.submit(make_request(f"t{index}", dest=1 + index % 5, wait_s=wait))
                 finals.append((time.monotonic() + wait, ticket))
-                at += 1
+                index += 1
                 time.sleep(0.004)
 
         async def host() -> None:
             loop = asyncio.get_running_loop()
             tasks = []
-            for at in range(600):
-                request = make_request(f"a{at}", dest=1 + at % 5, wait_s=1.0)
+            for index in range(600):
+                request = make_request(f"a{index}", dest=1 + index % 5, wait_s=1.0)
                 tasks.append(asyncio.ensure_future(router.place(request)))
-                if at % 150 == 149:
+                if index % 150 == 149:
                     block_loop(loop, 0.5)
                 await asyncio.sleep(0.005)
             outcomes = await asyncio.gather(*tasks)
             assert len(outcomes) == 600
 
-        burners = [threading.Thread(target=use_cpu, args=(0.5,)) for _ in range(4)]
+        cpu_threads = [threading.Thread(target=use_cpu, args=(0.5,)) for _ in range(4)]
         offering = threading.Thread(target=offer)
         offering.start()
         hosting = threading.Thread(target=asyncio.run, args=(host(),))
         hosting.start()
-        for step, burner in enumerate(burners):
+        for step, cpu_thread in enumerate(cpu_threads):
             fleet.command("mute", "s1")
             time.sleep(0.3)
-            burner.start()
+            cpu_thread.start()
             time.sleep(0.1)
-            fleet.command("reset", "s1")  # with what is out there
+            fleet.command("reset", "s1")  # while set-ups are in flight there
             fleet.command("unmute", "s1")
             fleet.command(*[("reset", "s5"), ("mute", "s2"), ("drain", "s3"), ("die", "s4")][step])
             time.sleep(0.4)
         late = 0
         hosting.join()
-        over.set()
+        stopped.set()
         offering.join()
         for deadline, ticket in finals:
             answered = ticket.future.wait(max(deadline + 0.1 - time.monotonic(), 0))
             late += answered is None
             ticket.cancel()
-        assert len(finals) > 300 and late == 0, "every taken call is answered by its deadline"
+        assert len(finals) > 300 and late == 0, "an admitted call was not answered by its deadline"
         wait_until(lambda: router.counts() == (0, 0))
         report = fleet.report()
         assert report["violations"] == [] and report["in_flight"] == 0
-        assert report["retries"] > 0, "attempts that were reset or silent were followed by others"
+        assert report["retries"] > 0, "no attempt was repeated after a reset or silence"
         router.close(0.0)
 
 
 def hold_gil(span_s: float) -> None:
-    """One call into C that keeps the interpreter, as a careless extension does, for about that long."""
-    begun = time.monotonic()
+    """Holds the GIL in one C call for about `span_s`, as an extension does that never releases it."""
+    started = time.monotonic()
     sum(range(1_000_000))
-    each = time.monotonic() - begun
+    each = time.monotonic() - started
     sum(range(int(1_000_000 * span_s / each)))
 
 
-def test_a_host_that_holds_the_interpreter_breaks_no_rule_towards_switches() -> None:
-    """Nothing runs in the process then, so outcomes are late; but no call is sent again too early."""
+def test_host_holding_gil_breaks_no_rule_towards_switches() -> None:
+    """Nothing else runs while the GIL is held, so outcomes are late; no call may be resent too early."""
     with Fleet([1, 2, 3, 4, 5], hold_s=0.1) as fleet:
         router = EmbeddedRouter(make_config(fleet), bounds=Bounds(max_open=400))
         router.open()
         wait_connected(router, 5)
-        over = threading.Event()
+        stopped = threading.Event()
         tickets: list[Ticket] = []
 
         def offer() -> None:
-            while not over.is_set():
-                at = len(tickets)
-                tickets.append(router.submit(make_request(f"t{at}", dest=1 + at % 5, wait_s=2.0)))
+            while not stopped.is_set():
+                index = len(tickets)
+                tickets.append(router.submit(make_request(f"t{index}", dest=1 + index % 5, wait_s=2.0)))
                 time.sleep(0.003)
 
         def hold() -> None:
-            while not over.is_set():
+            while not stopped.is_set():
                 hold_gil(0.3)
                 time.sleep(0.02)
 
@@ -594,14 +600,15 @@
         for thread in threads:
             thread.start()
         rounds = 0
-        while rounds < 8 or (rounds < 60 and not fleet.report()["retries"]):  # few are sent again in a round
+        # Few calls are resent in a round.
+        while rounds < 8 or (rounds < 60 and not fleet.report()["retries"]):
             rounds += 1
             fleet.command("mute", "s1")
             time.sleep(0.2)
             fleet.command("reset", "s1")
             fleet.command("unmute", "s1")
             time.sleep(0.1)
-        over.set()
+        stopped.set()
         for thread in threads:
             thread.join()
         outcomes = [ticket.result(5.0) for ticket in tickets]
@@ -612,26 +619,27 @@
         router.close(0.0)
 
 
-def test_two_copies_of_one_name_cant_share(fleet: Fleet) -> None:
+def test_routers_of_same_name_cannot_share(fleet: Fleet) -> None:
     share = ColdShare()
     with EmbeddedRouter(make_config(fleet), share=share):
-        with pytest.raises(ValueError, match="'n0' shares already"):
+        with pytest.raises(ValueError, match="'n0' has already joined"):
             EmbeddedRouter(make_config(fleet), share=share).open()
         with EmbeddedRouter(make_config(fleet, "n2"), share=share):
             assert share.router_names == {"n0", "n2"}
     assert share.router_names == set()
 
 
-def test_two_copies_and_a_daemon_keep_a_cold_switchs_limit(tmp_path: Path) -> None:
-    """A switch comes up cold while two embedded copies and a daemon send to the fleet.
+def test_embedded_routers_and_daemon_keep_limit_of_cold_switch(tmp_path: Path) -> None:
+    """A cold switch comes up while two embedded routers and a daemon send calls to the fleet.
 
-    All together may send it twice what it can do. A warm one of its size here is sent `each` set-ups a second
-    and does twice that with the calls of its own stations, so at 34 % it may be sent 2 x 0.34 x 2 x each.
+    Together they may send it twice its capacity. A warm switch of this size is sent `before` set-ups per
+    second here and handles twice that with the calls of its own stations. A cold one has 34 % of that
+    capacity, so it may be sent 2 x 0.34 x 2 x `before`.
     """
     with Fleet([1, 2, 3, 4], hold_s=0.05) as fleet:
         share = ColdShare()
         names = ("n1", "n2")
-        copies = [EmbeddedRouter(make_config(fleet, name), share=share) for name in names]
+        routers = [EmbeddedRouter(make_config(fleet, name), share=share) for name in names]
         (listen,) = free_ports(1)
         config = {**config_document(fleet.changelog, "n3"), "listen": f"127.0.0.1:{listen}"}
         (tmp_path / "config.json").write_text(json.dumps(config))
@@ -642,29 +650,31 @@
             stderr=subprocess.DEVNULL,
         )
         try:
-            for copy in copies:
-                copy.open()
-                wait_connected(copy, 4)
-            asyncio.run(offer_calls(fleet, copies, listen))
+            for router in routers:
+                router.open()
+                wait_connected(router, 4)
+            asyncio.run(offer_calls(fleet, routers, listen))
             report = fleet.report()
         finally:
-            for copy in copies:
-                copy.close(0.0)
+            for router in routers:
+                router.close(0.0)
             daemon.terminate()
             daemon.wait(10)
         assert report["violations"] == []
         cold = report["arrivals"]["s5"]
         warm = [report["arrivals"][f"s{at}"] for at in (1, 2, 3, 4)]
-        since = cold[0]
-        before = sum(sum(since - 1.5 <= at < since for at in times) for times in warm) / 1.5 / 4
+        first_arrival = cold[0]
+        before = (
+            sum(sum(first_arrival - 1.5 <= at < first_arrival for at in times) for times in warm) / 1.5 / 4
+        )
         worst = max(sum(at <= other < at + 1.0 for other in cold) for at in cold)
-        assert before > 20 and worst > 5, "there was something to limit"
+        assert before > 20 and worst > 5, "too few set-ups to test the limit"
         assert worst <= 2 * 0.34 * 2 * before * 1.1
-        assert share.router_names == set(), "both have left"
+        assert share.router_names == set(), "a closed router is still a member"
 
 
-async def offer_calls(fleet: Fleet, copies: list[EmbeddedRouter], listen: int) -> None:
-    """Four seconds among warm switches, then three in which half of all calls are for the cold one."""
+async def offer_calls(fleet: Fleet, routers: list[EmbeddedRouter], listen: int) -> None:
+    """Offers calls to warm switches for 4 s, then for 3 s half of all calls to the new, cold switch."""
     from rowanmast.lab.simulated import SimulatedStation
 
     loop = asyncio.get_running_loop()
@@ -677,19 +687,19 @@
         except ConnectionRefusedError:
             await asyncio.sleep(0.05)
     tasks = []
-    begun, at, born = loop.time(), 0, False
-    while (past := loop.time() - begun) < 7.0:
-        if past > 4.0 and not born:
-            born = True
+    started, count, cold_added = loop.time(), 0, False
+    while (elapsed := loop.time() - started) < 7.0:
+        if elapsed > 4.0 and not cold_added:
+            cold_added = True
             await asyncio.to_thread(fleet.command, "add_switch", 5)
-        while at < past * 120:
-            at += 1
-            dest = 5 if born and at % 2 else 1 + at % 4
-            if at // 2 % 3 == 0:
+        while count < elapsed * 120:
+            count += 1
+            dest = 5 if cold_added and count % 2 else 1 + count % 4
+            if count // 2 % 3 == 0:
                 station.dial(dest)
             else:
-                copy = copies[at // 2 % 3 - 1]
-                tasks.append(asyncio.ensure_future(copy.place(make_request(str(at), dest, wait_s=1.0))))
+                router = routers[count // 2 % 3 - 1]
+                tasks.append(asyncio.ensure_future(router.place(make_request(str(count), dest, wait_s=1.0))))
         await asyncio.sleep(0.002)
     outcomes = await asyncio.gather(*tasks)
     assert len(outcomes) == len(tasks)
@@ -697,12 +707,12 @@
     assert station.counts.unanswered == 0
 
 
-# The account of a host's calls, alone
+# Admission control alone
 
 calls = st.sampled_from([f"c{at}" for at in range(6)])
 steps = st.lists(
     st.one_of(
-        st.tuples(st.sampled_from(["ask", "stands", "collected", "over"]), calls),
+        st.tuples(st.sampled_from(["admit", "stand", "collect", "remove"]), calls),
         st.tuples(st.just("wait"), st.integers(0, 400)),
     ),
     max_size=80,
@@ -711,45 +721,47 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(steps)
-def test_the_account_of_calls_is_that_of_a_plain_table(drawn: list[tuple[str, Any]]) -> None:
+def test_admission_control_matches_simple_model(drawn_steps: list[tuple[str, Any]]) -> None:
     bounds = Bounds(max_open=2, max_standing=3, collect_us=500)
     admission = AdmissionControl(bounds)
-    table: dict[str, tuple[CallState, int]] = {}
+    model: dict[str, tuple[CallState, int]] = {}
     now = 0
-    for step, value in drawn:
-        stages = [stage for stage, _ in table.values()]
-        known = table.get(value, (None, 0))[0] if step != "wait" else None
+    for step, value in drawn_steps:
+        states = [state for state, _ in model.values()]
+        known = model.get(value, (None, 0))[0] if step != "wait" else None
         if step == "wait":
             now += value
-        elif step == "ask" and known is None:
-            room = stages.count(CallState.OPEN) < 2 and len(stages) - stages.count(CallState.OPEN) < 3
+        elif step == "admit" and known is None:
+            room = states.count(CallState.OPEN) < 2 and len(states) - states.count(CallState.OPEN) < 3
             assert admission.admit(value) is (AdmissionResult.ADMITTED if room else AdmissionResult.AT_LIMIT)
             if room:
-                table[value] = (CallState.OPEN, now)
-        elif step == "stands":
+                model[value] = (CallState.OPEN, now)
+        elif step == "stand":
             assert admission.mark_standing(value, now) is (known is CallState.OPEN)
             if known is CallState.OPEN:
-                table[value] = (CallState.UNCOLLECTED, now)
-        elif step == "collected":
+                model[value] = (CallState.UNCOLLECTED, now)
+        elif step == "collect":
             assert admission.mark_collected(value) is (known is CallState.UNCOLLECTED)
             if known is CallState.UNCOLLECTED:
-                table[value] = (CallState.COLLECTED, now)
-        elif step == "over":
+                model[value] = (CallState.COLLECTED, now)
+        elif step == "remove":
             assert admission.remove(value) is known
-            table.pop(value, None)
-        offered = [(since, call) for call, (stage, since) in table.items() if stage is CallState.UNCOLLECTED]
+            model.pop(value, None)
+        uncollected = [
+            (since, call) for call, (state, since) in model.items() if state is CallState.UNCOLLECTED
+        ]
         assert sorted(admission.expired_outcomes(now)) == sorted(
-            c for since, c in offered if now - since >= 500
+            c for since, c in uncollected if now - since >= 500
         )
         assert (admission.open_count, admission.standing_count) == (
-            sum(stage is CallState.OPEN for stage, _ in table.values()),
-            sum(stage is not CallState.OPEN for stage, _ in table.values()),
+            sum(state is CallState.OPEN for state, _ in model.values()),
+            sum(state is not CallState.OPEN for state, _ in model.values()),
         )
     admission.closing = True
     assert admission.admit("late") is AdmissionResult.CLOSING
 
 
-def test_closed_errors_form_one_family() -> None:
+def test_errors_share_one_base_class() -> None:
     from rowanmast.embed import RowanmastError
 
     for error in (CallRefused, CallFailed, RequestError, RouterClosed):
--- a/tests/test_iax2_session.py
+++ b/tests/test_iax2_session.py
@@ -1,4 +1,4 @@
-"""IAX2 frames and sessions: a model of two sides of a call and the network that loses frames between them."""
+"""IAX2 frames and sessions; sessions are checked against a model with a network that loses frames."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     st.lists(st.tuples(st.integers(0, 255), st.binary(max_size=20)), max_size=5),
     st.booleans(),
 )
-def test_frames_come_back_as_written(
+def test_frames_are_decoded_as_encoded(
     source: int, destination: int, stamp: int, elements: list[tuple[int, bytes]], again: bool
 ) -> None:
     frame = Frame(source, destination, stamp, 7, 9, FrameType.IAX, Iax.NEW, tuple(elements), again)
@@ -33,49 +33,49 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(max_size=60))
-def test_any_datagram_is_read_or_refused(data: bytes) -> None:
+def test_any_datagram_is_decoded_or_raises_frame_error(data: bytes) -> None:
     try:
         assert frames.decode(data).source <= frames.MAX_CALL_NUMBER
     except FrameError as error:
         assert str(error)
 
 
-def test_a_new_is_laid_out_as_the_rfc_has_it() -> None:
+def test_a_new_has_the_layout_of_the_rfc() -> None:
     new = Frame(1, 0, 3, 0, 0, FrameType.IAX, Iax.NEW, ((Ie.VERSION, b"\0\2"), (Ie.CALLED_NUMBER, b"77")))
     assert frames.encode(new).hex() == "8001000000000003000006010b02000201023737"
 
 
-def test_long_texts_are_cut_and_joined() -> None:
+def test_long_texts_are_split_over_several_elements() -> None:
     text = "é" * 300
     frame = Frame(1, 0, 0, 0, 0, FrameType.IAX, Iax.NEW, frames.text_elements(Ie.DESCRIPTION, text))
     assert len(frame.elements) == 3 and frames.decode(frames.encode(frame)).text(Ie.DESCRIPTION) == text
 
 
 class Model:
-    """Two sessions and the frames on their way; what one sends the other must hear once and in order."""
+    """Two sessions and the frames in flight; what one sends, the other must receive once and in order."""
 
     def __init__(self) -> None:
         self.now = 0
         self.sides = (Session(5, 0), Session(9, 0))
-        self.in_flight: list[list[Frame]] = [[], []]  # towards each side
+        self.in_flight: list[list[Frame]] = [[], []]  # by receiving side
         self.sent: tuple[list[int], list[int]] = ([], [])
         self.received: tuple[list[int], list[int]] = ([], [])
         self.count = 0
         self.alive = True
 
     def step(self, kind: str, side: int, pick: int) -> None:
-        session, flying = self.sides[side], self.in_flight[side]
+        session, in_flight = self.sides[side], self.in_flight[side]
         if kind == "send" and self.alive and (self.sent[0] or side == 0):
             self.count += 1
             element = (int(Ie.SETUP_MS), self.count.to_bytes(4))
             session.send(self.now, FrameType.CONTROL, Control.ANSWER, (element,))
             self.sent[side].append(self.count)
-        elif kind == "arrive" and flying:
-            self.deliver(side, flying.pop(pick % len(flying)))
-        elif kind == "repeat" and flying:
-            self.deliver(side, flying[pick % len(flying)])
-        elif kind == "lose" and flying:
-            flying.pop(pick % len(flying))
+        elif kind == "deliver" and in_flight:
+            self.deliver(side, in_flight.pop(pick % len(in_flight)))
+        elif kind == "repeat" and in_flight:
+            self.deliver(side, in_flight[pick % len(in_flight)])
+        elif kind == "lose" and in_flight:
+            in_flight.pop(pick % len(in_flight))
         elif kind == "wait":
             self.now += pick * 20 * MS
             for other in self.sides:
@@ -83,9 +83,9 @@
         self.collect()
 
     def deliver(self, side: int, frame: Frame) -> None:
-        news = self.sides[side].receive(self.now, frame)
-        if news is not None:
-            self.received[side].append(news.integer(Ie.SETUP_MS) or 0)
+        delivered = self.sides[side].receive(self.now, frame)
+        if delivered is not None:
+            self.received[side].append(delivered.integer(Ie.SETUP_MS) or 0)
 
     def collect(self) -> None:
         for side, session in enumerate(self.sides):
@@ -95,27 +95,27 @@
             assert self.received[side] == self.sent[1 - side][: len(self.received[side])], "once and in order"
 
 
-KINDS = ("send", "send", "arrive", "arrive", "arrive", "repeat", "lose", "wait")
+KINDS = ("send", "send", "deliver", "deliver", "deliver", "repeat", "lose", "wait")
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from(KINDS), st.integers(0, 1), st.integers(0, 9)), max_size=80))
-def test_frames_are_heard_once_and_in_order(drawn: list[tuple[str, int, int]]) -> None:
+def test_frames_are_delivered_once_and_in_order(drawn: list[tuple[str, int, int]]) -> None:
     model = Model()
     for step in drawn:
         model.step(*step)
-    for _ in range(400):  # from here on nothing is lost, so all arrives unless a side was given up
+    for _ in range(400):  # nothing is lost from here on, so all frames arrive unless a session timed out
         for side in (0, 1):
             while model.in_flight[side]:
-                model.step("arrive", side, 0)
+                model.step("deliver", side, 0)
         model.step("wait", 0, 1)
         for side in (0, 1):
             while model.in_flight[side]:
-                model.step("arrive", side, 0)
+                model.step("deliver", side, 0)
     assert not model.alive or all(model.received[side] == model.sent[1 - side] for side in (0, 1))
 
 
-def test_resending_is_bounded_and_then_the_other_side_is_dead() -> None:
+def test_retransmissions_are_limited_and_then_the_session_times_out() -> None:
     session, now, sent = Session(5, 0), 0, 0
     session.send(now, FrameType.IAX, Iax.NEW)
     while session.run_timers(now):
@@ -132,7 +132,7 @@
         assert session.outbox[-1].is_iax(answer) and session.outbox[-1].timestamp == 1234
 
 
-def test_a_frame_ahead_is_answered_with_vnak_and_vnak_brings_the_lost_ones() -> None:
+def test_a_frame_out_of_order_is_answered_with_vnak_and_a_vnak_causes_retransmission() -> None:
     session = Session(5, 0, remote_number=9)
     assert session.receive(0, Frame(9, 5, 1, 1, 0, FrameType.IAX, Iax.ACCEPT)) is None
     assert session.outbox.pop().is_iax(Iax.VNAK)
@@ -143,7 +143,7 @@
     assert [(frame.oseqno, frame.retransmitted) for frame in session.outbox] == [(1, True)]
 
 
-def test_an_ended_call_lingers_and_is_then_forgotten() -> None:
+def test_an_ended_call_expires_after_its_linger_time() -> None:
     session = Session(5, 0, remote_number=9)
     session.end(0, Iax.HANGUP)
     session.end(0, Iax.REJECT)
@@ -152,7 +152,7 @@
     assert session.is_expired(LINGER_US) and not session.is_expired(LINGER_US - 1)
 
 
-def test_a_new_that_was_called_off_unheard_is_not_sent_again() -> None:
+def test_a_new_cancelled_before_any_reply_is_not_retransmitted() -> None:
     session = Session(5, 0)
     session.send(0, FrameType.IAX, Iax.NEW)
     session.end(0, Iax.HANGUP)
@@ -164,12 +164,12 @@
 @pytest.mark.parametrize(
     "data", [b"", b"\x00" * 12, b"\x80\x01" + b"\0" * 8 + b"\x06\x01\x01", b"\x80" + b"\xff" * 11]
 )
-def test_frames_that_can_not_be_taken(data: bytes) -> None:
+def test_malformed_frames_raise_frame_error(data: bytes) -> None:
     with pytest.raises(FrameError):
         frames.decode(data)
 
 
-def test_a_flood_of_new_calls_is_bounded_and_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_calls_above_the_limit_get_inval(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(endpoint, "MAX_LEGS", 3)
     taken: list[Any] = []
 
@@ -183,7 +183,7 @@
             self.sent.append(frames.decode(data))
 
     async def test() -> None:
-        side = endpoint.Endpoint(lambda: 0, lambda leg, frame: taken.append(leg))  # type: ignore[arg-type, func-returns-value]
+        side = endpoint.IaxEndpoint(lambda: 0, lambda leg, frame: taken.append(leg))  # type: ignore[arg-type, func-returns-value]
         side.connection_made(Socket())
         for number in range(1, 6):
             new = Frame(number, 0, 1, 0, 0, FrameType.IAX, Iax.NEW)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger against the rules, also under a module that says anything at all."""
+"""The ledger keeps the call-handling rules, with the real decision module and with a random one."""
 
 from __future__ import annotations
 
@@ -9,17 +9,25 @@
 from conftest import SETTINGS, list_entry
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from standins import RELEASE_GUARD_US, SECOND_US, CheckedFront, CheckedLink, RuleChecker, full_list, offer
+from standins import (
+    RELEASE_GUARD_US,
+    SECOND_US,
+    AssertingRuleChecker,
+    CheckedFront,
+    CheckedLink,
+    full_list,
+    offer,
+)
 
 from rowanmast import interface as api
 from rowanmast.call_agent import CallAgent
 from rowanmast.core.ledger import ENDED_CALL_RETENTION_US, STALE_TIMER_SLACK, Ledger, with_release_margin
 from rowanmast.core.ports import (
     Answered,
-    AttemptEnded,
+    AttemptFailed,
     CallEnded,
     Cancelled,
-    Ending,
+    EndReason,
     EndUnanswered,
     Failure,
     Input,
@@ -31,7 +39,7 @@
 
 
 class RandomAgent:
-    """Says whatever it likes: the ledger's guards must keep the rules without it."""
+    """A decision module that returns random actions; the ledger has to keep the rules by itself."""
 
     def __init__(self) -> None:
         self.random = Random(5)
@@ -63,85 +71,97 @@
 
 
 class Model:
-    """A ledger between fronts and links that have no wire, and what may happen to it."""
+    """A ledger between fronts and links without wires, and the events that may happen to it."""
 
     def __init__(self, agent: Any = None) -> None:
         self.now = 1000 * SECOND_US
-        self.checker = RuleChecker(
+        # The tolerances are for rounding errors.
+        self.checker = AssertingRuleChecker(
             lambda: self.now / SECOND_US, RELEASE_GUARD_US / SECOND_US - 1e-6, tolerance_s=1e-6
-        )  # floats round
+        )
         self.front = CheckedFront(self.checker)
         self.links = {name: CheckedLink(name, self.checker) for name in ("x0", *NAMES)}
         agent = agent or CallAgent(with_release_margin(SETTINGS, 50_000), 3)
         self.orphan_front = CheckedFront(self.checker)
         self.ledger = Ledger(SETTINGS, {"plain": 0}, agent, self.links, self.orphan_front)
         self.serial = 0
-        self.turn(full_list())
+        self.run_turn(full_list())
 
-    def turn(self, *items: Input) -> None:
-        self.ledger.turn(self.now, items)
+    def run_turn(self, *items: Input) -> None:
+        self.ledger.run_turn(self.now, items)
 
     def pass_time(self, until: int) -> None:
         while (due := self.ledger.next_timer()) is not None and due <= until:
             self.now = max(self.now, due)
-            self.turn()
+            self.run_turn()
         self.now = until
-        self.turn()
+        self.run_turn()
 
     def pick(self, names: Any, number: int) -> str:
         names = sorted(names)
         return names[number % len(names)] if names else "unknown"
 
     def step(self, kind: str, number: int, amount: int) -> None:
-        out, standing = self.checker.in_flight, self.checker.standing
+        in_flight, standing = self.checker.in_flight, self.checker.standing
         if kind == "offer":
             self.serial += 1
             name = f"c{self.serial}"
-            left = (amount + 1) * 10_000
-            self.checker.call_offered(name, left / SECOND_US)
-            self.turn(offer(self.front, name, 1 + number % 3, left, transit=number > 5))
+            remaining_us = (amount + 1) * 10_000
+            self.checker.call_offered(name, remaining_us / SECOND_US)
+            self.run_turn(offer(self.front, name, 1 + number % 3, remaining_us, transit=number > 5))
         elif kind == "cancel":
             call = self.pick(set(self.checker.deadlines) - set(self.checker.final_answers), number)
             self.checker.ended_by_caller(call)
-            self.turn(Cancelled(call))
+            self.run_turn(Cancelled(call))
         elif kind == "release":
             call = self.pick(standing, number)
             self.checker.ended_by_caller(call)
-            self.turn(Released(call, 16))
-        elif kind == "answer" and out:
-            call = self.pick(out, number)
-            exchange = out[call]
+            self.run_turn(Released(call, 16))
+        elif kind == "answer" and in_flight:
+            call = self.pick(in_flight, number)
+            exchange = in_flight[call]
             self.checker.stood(call)
-            self.turn(Answered(exchange, call, self.links[exchange].attempts[call].number, "text"))
-        elif kind == "refuse" and out:
-            call = self.pick(out, number)
-            exchange = out[call]
+            self.run_turn(Answered(exchange, call, self.links[exchange].attempts[call].number, "text"))
+        elif kind == "refuse" and in_flight:
+            call = self.pick(in_flight, number)
+            exchange = in_flight[call]
             outcome = (api.Outcome.FULL, api.Outcome.CUT, api.Outcome.UNREACHED)[number % 3]
             self.checker.ended_at_switch(call, confirmed=outcome is not api.Outcome.CUT)
-            self.turn(AttemptEnded(exchange, call, self.links[exchange].attempts[call].number, outcome))
-        elif kind == "over" and standing:
+            self.run_turn(AttemptFailed(exchange, call, self.links[exchange].attempts[call].number, outcome))
+        elif kind == "switch_release" and standing:
             call = self.pick(standing, number)
             exchange = standing[call]
             self.checker.released_by_switch(call)
-            self.turn(CallEnded(exchange, call, api.Outcome.DONE))
-        elif kind == "late":  # of an attempt that is no more: nothing may come of it
-            self.turn(Answered("x1", f"c{number}", -1, "late"), AttemptEnded("x2", f"c{number}", 9, ENDED))
+            self.run_turn(CallEnded(exchange, call, api.Outcome.DONE))
+        elif kind == "late":  # results of attempts that have ended must be ignored
+            self.run_turn(Answered("x1", f"c{number}", -1, "late"), AttemptFailed("x2", f"c{number}", 9, CUT))
         elif kind == "list":
             name = NAMES[number % 3]
             state = (api.ExchangeState.UP, api.ExchangeState.DRAINING)[amount % 2]
             self.checker.draining_since.pop(name, None)
             if state is not api.ExchangeState.UP:
-                self.checker.draining_since[name] = (
-                    self.now / SECOND_US - 2.0
-                )  # at once, since the ledger knows it
+                # No grace period: the ledger knows at once.
+                self.checker.draining_since[name] = self.now / SECOND_US - 2.0
             changed = list_entry(1 + number % 3, state)
-            self.turn(api.ExchangeList(api.ListKind.CHANGES, (changed,)))
+            self.run_turn(api.ExchangeList(api.ListKind.CHANGES, (changed,)))
         elif kind == "wait":
             self.pass_time(self.now + amount * 1000)
 
 
-ENDED = api.Outcome.CUT
-KINDS = ("offer", "offer", "answer", "refuse", "over", "cancel", "release", "late", "list", "wait", "wait")
+CUT = api.Outcome.CUT
+KINDS = (
+    "offer",
+    "offer",
+    "answer",
+    "refuse",
+    "switch_release",
+    "cancel",
+    "release",
+    "late",
+    "list",
+    "wait",
+    "wait",
+)
 steps = st.lists(st.tuples(st.sampled_from(KINDS), st.integers(0, 7), st.integers(0, 400)), max_size=60)
 
 
@@ -155,13 +175,13 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(steps)
-def test_rules_hold_with_the_module(drawn: list[tuple[str, int, int]]) -> None:
+def test_rules_hold_with_the_decision_module(drawn: list[tuple[str, int, int]]) -> None:
     run_steps(Model(), drawn)
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(steps)
-def test_rules_hold_whatever_a_module_says(drawn: list[tuple[str, int, int]]) -> None:
+def test_rules_hold_with_random_decisions(drawn: list[tuple[str, int, int]]) -> None:
     run_steps(Model(RandomAgent()), drawn)
 
 
@@ -173,155 +193,158 @@
     return model
 
 
-def test_an_answer_that_crosses_the_cancel_gets_its_release() -> None:
+def test_an_answer_that_crosses_the_callers_cancel_is_released_on_both_sides() -> None:
     model = model_with_standing_call()
-    model.turn(Cancelled("c1"))
+    model.run_turn(Cancelled("c1"))
     assert model.links["x1"].messages == [("release", "c1")]
     assert model.front.messages[-1] == ("release", "c1", 16)
 
 
-def test_an_answer_that_crosses_our_giving_up_is_released_at_the_switch() -> None:
+def test_an_answer_that_crosses_a_cancelled_attempt_is_released_at_the_switch() -> None:
     model = Model()
     model.step("offer", 0, 400)
-    model.turn(Cancelled("c1"))
-    model.turn(Answered("x1", "c1", -1, "late"))
+    model.run_turn(Cancelled("c1"))
+    model.run_turn(Answered("x1", "c1", -1, "late"))
     assert model.links["x1"].messages == [("cancel", "c1"), ("release", "c1")]
-    assert [said[0] for said in model.front.messages] == ["fail"]
+    assert [message[0] for message in model.front.messages] == ["fail"]
 
 
-def test_a_second_ready_of_a_standing_call_does_not_end_it() -> None:
+def test_a_repeated_answer_does_not_end_a_standing_call() -> None:
     model = model_with_standing_call()
-    model.turn(Answered("x1", "c1", -1, "text"))
+    model.run_turn(Answered("x1", "c1", -1, "text"))
     assert model.links["x1"].messages == []
 
 
 GONE = api.ExchangeList(api.ListKind.CHANGES, (list_entry(1, api.ExchangeState.GONE),))
 
 
-def test_a_switch_that_is_proven_dead_or_lost_cuts_what_stood_there() -> None:
-    lost = CallEnded("x1", "c1", api.Outcome.CUT, why=Ending.SWITCH_LOST)
-    removed = CallEnded("x1", "c1", api.Outcome.CUT, why=Ending.SWITCH_REMOVED)
-    for news in ((SwitchDown("x1"),), (lost,), (GONE, removed)):
+def test_calls_on_a_dead_lost_or_removed_switch_are_released_to_their_callers() -> None:
+    lost = CallEnded("x1", "c1", api.Outcome.CUT, why=EndReason.SWITCH_LOST)
+    removed = CallEnded("x1", "c1", api.Outcome.CUT, why=EndReason.SWITCH_REMOVED)
+    for inputs in ((SwitchDown("x1"),), (lost,), (GONE, removed)):
         model = model_with_standing_call()
-        model.turn(*news)
+        model.run_turn(*inputs)
         assert model.front.messages[-1] == ("release", "c1", 41)
         assert not model.ledger.records
 
 
-def test_a_removed_switch_keeps_what_stands_until_its_end_and_loses_what_is_being_set_up() -> None:
+def test_a_removed_switch_keeps_its_standing_calls_and_loses_its_attempts() -> None:
     model = model_with_standing_call()
-    model.turn(GONE)
+    model.run_turn(GONE)
     assert model.front.messages == [("answer", "c1", "text")]
-    model.turn(CallEnded("x1", "c1", api.Outcome.DONE))
+    model.run_turn(CallEnded("x1", "c1", api.Outcome.DONE))
     assert model.front.messages[-1] == ("release", "c1", 16)
     model = Model()
     model.step("offer", 0, 400)
-    model.turn(GONE)
+    model.run_turn(GONE)
     assert model.links["x1"].messages == [("cancel", "c1")]
 
 
-def test_a_router_that_ends_answers_what_it_owes_and_calls_off_what_is_out() -> None:
+def test_shutdown_answers_unanswered_calls_and_cancels_their_attempts() -> None:
     for klass, answer in (("plain", "refuse"), ("unsafe", "fail")):
         model = Model()
         model.ledger.classes = {"plain": 0, "unsafe": 2}
         model.checker.call_offered("c1", 3.0)
-        model.turn(replace(offer(model.front, "c1"), klass=klass))
+        model.run_turn(replace(offer(model.front, "c1"), klass=klass))
         assert "c1" in model.links["x1"].attempts
-        model.turn(EndUnanswered())
-        assert [said[:2] for said in model.front.messages] == [(answer, "c1")]
+        model.run_turn(EndUnanswered())
+        assert [message[:2] for message in model.front.messages] == [(answer, "c1")]
         assert ("cancel", "c1") in model.links["x1"].messages
         assert not model.ledger.records
 
 
-def test_the_end_of_an_unknown_call_is_passed_on_only_by_the_word_of_a_switch() -> None:
+def test_an_orphaned_call_is_not_released_when_only_its_link_gives_it_up() -> None:
     model = model_with_standing_call()
-    model.turn(CallEnded("x1", "e1", api.Outcome.CUT, why=Ending.SWITCH_LOST))
+    model.run_turn(CallEnded("x1", "e1", api.Outcome.CUT, why=EndReason.SWITCH_LOST))
     assert model.orphan_front.messages == []
 
 
-def test_the_end_of_a_call_that_an_earlier_run_left_standing_is_told() -> None:
+def test_the_caller_of_an_orphaned_call_is_notified_of_its_release() -> None:
     model = model_with_standing_call()
-    model.step("over", 0, 0)
-    model.turn(CallEnded("x1", "c1", api.Outcome.DONE))  # twice: it is no call of an earlier run
+    model.step("switch_release", 0, 0)
+    # A repeated release is not that of an orphaned call.
+    model.run_turn(CallEnded("x1", "c1", api.Outcome.DONE))
     assert model.orphan_front.messages == []
-    model.turn(CallEnded("x1", "e1", api.Outcome.DONE), CallEnded("x1", "e2", api.Outcome.CUT))
+    model.run_turn(CallEnded("x1", "e1", api.Outcome.DONE), CallEnded("x1", "e2", api.Outcome.CUT))
     assert model.orphan_front.messages == [("release", "e1", 16), ("release", "e2", 41)]
     model.pass_time(model.now + ENDED_CALL_RETENTION_US + 1)
     assert not model.ledger.recently_ended
 
 
-def test_only_calls_that_cannot_stand_without_us_are_released_when_we_leave() -> None:
-    for calling, called in ((True, True), (True, False), (False, True)):
+def test_only_calls_that_cannot_outlive_the_process_are_released_at_its_end() -> None:
+    for front_survives, link_survives in ((True, True), (True, False), (False, True)):
         model = model_with_standing_call()
-        model.front.survives_restart, model.links["x1"].survives_restart = calling, called
+        model.front.survives_restart, model.links["x1"].survives_restart = front_survives, link_survives
         model.ledger.release_nonsurviving()
-        bound = not (calling and called)
-        assert model.links["x1"].messages == [("release", "c1")] * bound
-        assert model.front.messages[1:] == [("release", "c1", 41)] * bound
+        is_released = not (front_survives and link_survives)
+        assert model.links["x1"].messages == [("release", "c1")] * is_released
+        assert model.front.messages[1:] == [("release", "c1", 41)] * is_released
 
 
-def test_an_unknown_class_and_an_id_in_use_are_answered_and_touch_no_other_call() -> None:
+def test_an_unknown_class_or_an_id_in_use_fails_that_call_alone() -> None:
     model = model_with_standing_call()
-    other = CheckedFront(RuleChecker(lambda: 0.0, 0.0))
+    other = CheckedFront(AssertingRuleChecker(lambda: 0.0, 0.0))
     other.checker.deadlines = {"c1": 1.0, "c7": 1.0}
-    model.turn(offer(other, "c1"), replace(offer(other, "c7"), klass="plain_x"))
+    model.run_turn(offer(other, "c1"), replace(offer(other, "c7"), klass="plain_x"))
     assert other.messages == [("fail", "c1", Failure.UNFIT), ("fail", "c7", Failure.UNFIT)]
     assert model.front.messages == [("answer", "c1", "text")] and list(model.ledger.records) == ["c1"]
 
 
-def test_nothing_is_kept_of_switches_and_calls_that_are_gone() -> None:
-    # Every switch ever listed and every call's deadline stayed, for as long as the caller had named.
+def test_state_of_removed_switches_and_ended_calls_is_deleted() -> None:
+    # Guards against leaks: every switch ever listed was kept, and every call's timer until its deadline.
     model, sizes = Model(), []
     agent = model.ledger.agent
-    model.turn(api.ExchangeList(api.ListKind.CHANGES, (list_entry(1, api.ExchangeState.GONE),)))
+    model.run_turn(api.ExchangeList(api.ListKind.CHANGES, (list_entry(1, api.ExchangeState.GONE),)))
     for generation in range(40):
         name = f"g{generation}"
         model.links[name] = CheckedLink(name, model.checker)
         up, gone = (
             list_entry(1, state, name=name) for state in (api.ExchangeState.UP, api.ExchangeState.GONE)
         )
-        model.turn(api.ExchangeList(api.ListKind.CHANGES, (up,)))
+        model.run_turn(api.ExchangeList(api.ListKind.CHANGES, (up,)))
         for _ in range(20):
             model.step("offer", 0, 100_000)
-            model.step("offer", 7, 100_000)  # in transit: refused
+            model.step("offer", 7, 100_000)  # in transit, and refused
             model.step("answer", 0, 0)
-            model.step("over" if generation % 2 else "wait", 0, 20)
+            model.step("switch_release" if generation % 2 else "wait", 0, 20)
         del model.links[name]
-        model.turn(api.ExchangeList(api.ListKind.CHANGES, (gone,)))
+        model.run_turn(api.ExchangeList(api.ListKind.CHANGES, (gone,)))
         for call, record in list(model.ledger.records.items()):
-            at = record.standing_attempt
-            model.turn(CallEnded(at.exchange, call, api.Outcome.DONE) if at else Cancelled(call))
+            standing = record.standing_attempt
+            model.run_turn(
+                CallEnded(standing.exchange, call, api.Outcome.DONE) if standing else Cancelled(call)
+            )
         model.checker.standing.clear()
         model.checker.in_flight.clear()
         model.pass_time(model.now + SECOND_US)
-        held = [
+        collections = [
             model.ledger.records,
             model.ledger.listed,
             agent.exchanges,
-            agent.pending,
-            agent.paused,
-            agent.candidates,
+            agent.pending_calls,
+            agent.paused_tandems,
+            agent.tandem_candidates,
         ]
-        sizes.append([len(kept) for kept in held])
+        sizes.append([len(collection) for collection in collections])
         assert len(model.ledger.timers) <= 2 * STALE_TIMER_SLACK
     assert sizes[-1] == sizes[0] == [0, 3, 3, 0, 0, 3]
 
 
-def test_an_exception_in_one_call_answers_it_and_no_other() -> None:
-    class Odd(CallAgent):
+def test_an_exception_in_the_decision_module_fails_that_call_alone() -> None:
+    class FaultyAgent(CallAgent):
         def on_call(self, call: api.Call) -> None:
             if call.call == "c1":
                 raise ValueError("odd")
             super().on_call(call)
 
-    model = Model(Odd(SETTINGS, 1))
+    model = Model(FaultyAgent(SETTINGS, 1))
     model.step("offer", 0, 400)
     model.step("offer", 0, 400)
-    assert [said[:2] for said in model.front.messages] == [("fail", "c1")]
+    assert [message[:2] for message in model.front.messages] == [("fail", "c1")]
     assert model.checker.in_flight == {"c2": "x1"}
 
 
-def test_a_set_up_may_not_leave_once_its_switch_drains() -> None:
+def test_a_set_up_may_not_be_sent_once_its_switch_drains() -> None:
     model = Model()
     model.step("offer", 0, 400)
     attempt = model.links["x1"].attempts["c1"]
@@ -340,27 +363,31 @@
     model.links["x1"].cancel = lambda call: None  # type: ignore[method-assign]
     model.step("offer", 0, 400)
     model.step("offer", 1, 400)
-    assert [said[:2] for said in model.front.messages] == [("fail", "c1")]
+    assert [message[:2] for message in model.front.messages] == [("fail", "c1")]
     assert model.checker.in_flight == {"c2": "x2"}
 
 
 def test_an_answer_in_the_turn_of_the_deadline_is_released_at_the_switch() -> None:
-    # Its link no longer had it as a set-up, so calling it off there told the switch nothing.
+    # Guards against a call left standing at the switch: its link no longer had the attempt, so cancelling it
+    # there sent nothing.
     model = Model()
     model.step("offer", 0, 1)
-    out = model.links["x1"].attempts["c1"]
+    attempt = model.links["x1"].attempts["c1"]
     model.now += 30_000
-    model.checker.cancelled.add("c1")  # by now the caller has given up
-    model.turn(Answered("x1", "c1", out.number, "late"))
+    model.checker.cancelled.add("c1")  # the caller has given up by now
+    model.run_turn(Answered("x1", "c1", attempt.number, "late"))
     assert model.links["x1"].messages == [("release", "c1")]
-    assert [said[0] for said in model.front.messages] == ["refuse"]
+    assert [message[0] for message in model.front.messages] == ["refuse"]
+
 
+def test_a_wait_for_a_release_counts_from_when_a_stalled_turn_has_sent_its_output() -> None:
+    """Guards against a second attempt too soon after the first was cancelled.
 
-def test_a_wait_for_a_release_counts_from_when_the_bytes_of_a_stalled_turn_left() -> None:
-    """A host may hold the interpreter in mid-turn: here the cancel leaves 400 ms after its begin."""
+    A host may hold the interpreter in the middle of a turn: here the cancel is sent 400 ms after its start.
+    """
 
-    class Again:
-        """Sends a call again as soon as the module may, whatever has happened to it."""
+    class RetryingAgent:
+        """Makes another attempt as soon as the rules permit one."""
 
         def handle(self, now_ns: int, event: api.Event) -> list[api.Action]:
             match event:
@@ -372,33 +399,32 @@
                     return [api.SetUp(event.token.removeprefix("call "), "x2", 10**9)]
             return []
 
-    model = Model(Again())
+    model = Model(RetryingAgent())
     model.checker.call_offered("c1", 3.0)
-    model.turn(offer(model.front, "c1"))
+    model.run_turn(offer(model.front, "c1"))
     model.now += SECOND_US // 10
-    model.turn()  # the attempt times out, and what takes it back is written
+    model.run_turn()  # the attempt times out, and its cancel is written
     (record,) = model.ledger.awaiting_release
-    stalled = model.now + 400_000
-    model.checker.retry_not_before["c1"] = (
-        stalled + RELEASE_GUARD_US
-    ) / SECOND_US  # the switch hears of it only now
-    model.ledger.output_flushed(stalled)
-    assert not model.ledger.awaiting_release and record.next_attempt_at == stalled + RELEASE_GUARD_US
-    model.pass_time(stalled + RELEASE_GUARD_US - 1)
+    flushed_at = model.now + 400_000
+    # The switch receives the cancel only now.
+    model.checker.retry_not_before["c1"] = (flushed_at + RELEASE_GUARD_US) / SECOND_US
+    model.ledger.output_flushed(flushed_at)
+    assert not model.ledger.awaiting_release and record.next_attempt_at == flushed_at + RELEASE_GUARD_US
+    model.pass_time(flushed_at + RELEASE_GUARD_US - 1)
     assert record.attempt_count == 1
-    model.pass_time(stalled + RELEASE_GUARD_US + 1000)
+    model.pass_time(flushed_at + RELEASE_GUARD_US + 1000)
     assert record.attempt_count == 2 and record.current_attempt is not None
-    model.turn(Cancelled("c1"))
+    model.run_turn(Cancelled("c1"))
 
 
-def test_turns_that_took_no_time_move_nothing() -> None:
+def test_a_turn_without_delay_moves_no_timers() -> None:
     model = Model()
     for name in ("c1", "c2"):
         model.checker.call_offered(name, 3.0)
-        model.turn(offer(model.front, name))
+        model.run_turn(offer(model.front, name))
     before = list(model.ledger.timers)
-    model.turn(Cancelled("c1"))
+    model.run_turn(Cancelled("c1"))
     (record,) = model.ledger.awaiting_release
-    not_before = record.next_attempt_at
+    next_attempt_at = record.next_attempt_at
     model.ledger.output_flushed(model.now + 4_000)
-    assert record.next_attempt_at == not_before and before[0] in model.ledger.timers
+    assert record.next_attempt_at == next_attempt_at and before[0] in model.ledger.timers
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Leases of calls that stand, against processes that live, vanish and are replaced, in simulated time."""
+"""Leases of standing calls with processes that live, vanish and are replaced, in simulated time."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 )
 
 SECOND = 1_000_000
-DEADLINE_US = 8 * SECOND  # from the end of a call whose switch can send no release until its caller knows
-PROBE_ROUND_TRIP_US = 50_000  # until a live process has answered a probe
-MAX_CONNECTIONS = 4  # connections that a link keeps
+DEADLINE_US = 8 * SECOND  # for notifying the caller of the end of a call whose switch can send no release
+PROBE_ROUND_TRIP_US = 50_000
+MAX_CONNECTIONS = 4  # of a link
 
 
 class SimulatedSwitch:
-    """One switch: the process that listens now, and for each open connection the process that it leads to."""
+    """A switch: the process that listens now, and the process that each open connection leads to."""
 
     def __init__(self, may_probe: bool = True) -> None:
         self.now = 100 * SECOND
         self.machine = SwitchLiveness(may_probe)
         self.process = 0
-        self.died_at: dict[int, int] = {}  # processes: when they died in silence
-        self.process_of: dict[int, int] = {}  # open connections
-        self.answers: list[tuple[int, int]] = []  # of probes: when, on which connection
-        self.calls: dict[str, int] = {}  # calls that stand, by the process that holds them
-        self.ended_unreported: dict[str, int] = {}  # calls that ended untold: when
+        self.died_at: dict[int, int] = {}  # process -> time at which it died without closing connections
+        self.process_of: dict[int, int] = {}  # open connection -> process
+        self.answers: list[tuple[int, int]] = []  # time and connection of each pending answer to a probe
+        self.calls: dict[str, int] = {}  # standing call -> process
+        self.ended_unreported: dict[str, int] = {}  # call without a release -> time of its end
         self.serial = 0
         for _ in range(MAX_CONNECTIONS):
             self.connect()
@@ -47,7 +47,7 @@
             self.serial += 1
             self.process_of[self.serial] = self.process
             self.machine.connection_opened(self.now, self.serial)
-            self.receive(self.serial)  # its first state
+            self.receive(self.serial)  # the first status line
 
     def receive(self, connection: int) -> None:
         if self.process_of.get(connection) == self.process:
@@ -62,15 +62,15 @@
         return call
 
     def finish(self, call: str) -> None:
-        """The process that holds the call says that it is over, on any connection that leads to it."""
-        teller = next((one for one, process in self.process_of.items() if process == self.calls[call]), None)
-        if teller is not None and self.calls[call] == self.process:
+        """The process that has the call releases it, on any connection that leads to that process."""
+        source = next((one for one, process in self.process_of.items() if process == self.calls[call]), None)
+        if source is not None and self.calls[call] == self.process:
             del self.calls[call]
-            self.receive(teller)
-            assert self.machine.call_released(call, teller)
+            self.receive(source)
+            assert self.machine.call_released(call, source)
 
     def replace_process(self) -> None:
-        """It dies in silence, with its connections open; another one listens at its address."""
+        """The process dies with its connections left open; another one listens at its address."""
         for call, process in self.calls.items():
             if process == self.process:
                 self.ended_unreported[call] = self.now
@@ -82,33 +82,33 @@
         self.machine.connection_lost(self.now, connection)
 
     def advance(self, by: int) -> None:
-        """Lets time pass, with the checks and the answers to probes when they are due."""
+        """Lets time pass; checks are made and answers to probes arrive when they are due."""
         end = self.now + by
         while True:
-            moments = [at for at, _ in self.answers]
+            due = [at for at, _ in self.answers]
             if self.machine.next_check_at is not None:
-                moments.append(self.machine.next_check_at)
-            if not moments or min(moments) > end:
+                due.append(self.machine.next_check_at)
+            if not due or min(due) > end:
                 break
-            self.now = max(self.now, min(moments))
+            self.now = max(self.now, min(due))
             answered = [one for at, one in self.answers if at <= self.now]
             self.answers = [(at, one) for at, one in self.answers if at > self.now]
             for connection in answered:
                 self.receive(connection)
             if self.machine.next_check_at is not None and self.machine.next_check_at <= self.now:
-                self.carry_out(self.machine.check(self.now))
+                self.execute(self.machine.check(self.now))
         self.now = end
 
-    def carry_out(self, orders: list[LivenessAction]) -> None:
-        for order in orders:
-            match order:
+    def execute(self, actions: list[LivenessAction]) -> None:
+        for action in actions:
+            match action:
                 case SendProbe(connection):
                     self.answers.append((self.now + PROBE_ROUND_TRIP_US, connection))
                 case ReplaceConnection(connection) if self.process_of[connection] != self.process:
                     self.lose(connection)
                     self.connect()
                 case ReplaceConnection(connection):
-                    raise AssertionError("a connection that answers was replaced")
+                    raise AssertionError("a responsive connection was replaced")
                 case LeaseExpired(calls):
                     for call in calls:
                         assert (
@@ -120,13 +120,13 @@
                         self.ended_unreported.pop(call, None)
 
     def is_cut_off(self, call: str) -> bool:
-        """Whether no connection that was open with the call's own leads to its process any more."""
+        """Whether all connections known to lead to the call's process may have been lost."""
         return call in self.cut_off_calls
 
     cut_off_calls: frozenset[str] = frozenset()
 
     def reset_all(self) -> None:
-        """All connections at once; the process lives, but nothing proves that it is the same one."""
+        """Resets all connections at once; the process lives, but can't be known to be the same one."""
         self.cut_off_calls |= self.calls.keys()
         for connection in list(self.process_of):
             self.lose(connection)
@@ -134,135 +134,137 @@
 
     def check_deadlines(self) -> None:
         for call, ended in self.ended_unreported.items():
-            assert self.now < ended + DEADLINE_US, f"{call} ended {self.now - ended} us ago, untold"
+            assert self.now < ended + DEADLINE_US, f"{call} ended {self.now - ended} us ago, unreported"
 
 
 STEPS = st.one_of(
     st.tuples(st.just("advance"), st.integers(0, 4 * SECOND)),
-    st.tuples(st.sampled_from(["stand", "stand", "finish", "hear", "connect", "lose"]), st.integers(0, 9)),
+    st.tuples(st.sampled_from(["stand", "stand", "finish", "receive", "connect", "lose"]), st.integers(0, 9)),
     st.tuples(st.sampled_from(["replace", "reset_all"]), st.just(0)),
 )
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.lists(STEPS, max_size=60))
-def test_ends_are_known_in_time_and_calls_on_a_live_process_are_kept(steps: list[tuple[str, int]]) -> None:
-    world = SimulatedSwitch()
+def test_ends_are_detected_in_time_and_calls_on_a_live_process_are_kept(steps: list[tuple[str, int]]) -> None:
+    switch = SimulatedSwitch()
     for kind, pick in steps:
-        live = [one for one, process in world.process_of.items() if process == world.process]
+        live = [one for one, process in switch.process_of.items() if process == switch.process]
         match kind:
             case "advance":
-                world.advance(pick)
+                switch.advance(pick)
             case "stand" if live:
-                world.stand(live[pick % len(live)])
-            case "finish" if world.calls:
-                world.finish(sorted(world.calls)[pick % len(world.calls)])
-            case "hear" if live:
-                world.receive(live[pick % len(live)])
+                switch.stand(live[pick % len(live)])
+            case "finish" if switch.calls:
+                switch.finish(sorted(switch.calls)[pick % len(switch.calls)])
+            case "receive" if live:
+                switch.receive(live[pick % len(live)])
             case "connect":
-                world.connect()
+                switch.connect()
             case "lose" if len(live) > 1:
-                world.lose(live[pick % len(live)])
-                world.cut_off_calls |= world.calls.keys()  # unless the rest is known to lead there, too
+                switch.lose(live[pick % len(live)])
+                switch.cut_off_calls |= switch.calls.keys()  # others may not be known to lead there
             case "replace":
-                world.replace_process()
+                switch.replace_process()
             case "reset_all":
-                world.reset_all()
-        if world.machine.next_check_at is None:
-            world.machine.schedule_check(world.now, 0)
-        world.check_deadlines()
-    world.advance(DEADLINE_US)
-    world.check_deadlines()
-    assert world.machine.by_call.keys() == world.calls.keys()
+                switch.reset_all()
+        if switch.machine.next_check_at is None:
+            switch.machine.schedule_check(switch.now, 0)
+        switch.check_deadlines()
+    switch.advance(DEADLINE_US)
+    switch.check_deadlines()
+    assert switch.machine.by_call.keys() == switch.calls.keys()
 
 
 def idle_switch(seconds: int = 30) -> tuple[SimulatedSwitch, str]:
-    """One call stands, and nothing else is said for so long."""
-    world = SimulatedSwitch()
-    call = world.stand(1)
-    world.machine.schedule_check(world.now, 0)
-    world.advance(seconds * SECOND)
-    return world, call
+    """A switch with one standing call, after `seconds` without any other event."""
+    switch = SimulatedSwitch()
+    call = switch.stand(1)
+    switch.machine.schedule_check(switch.now, 0)
+    switch.advance(seconds * SECOND)
+    return switch, call
 
 
-def test_a_quiet_call_on_a_process_that_answers_probes_is_kept() -> None:
-    world, call = idle_switch()
-    assert list(world.calls) == [call] and world.machine.has_calls()
+def test_a_call_on_a_silent_process_that_answers_probes_is_kept() -> None:
+    switch, call = idle_switch()
+    assert list(switch.calls) == [call] and switch.machine.has_calls()
 
 
-def test_a_call_is_given_up_within_a_lease_of_the_last_sign_of_life() -> None:
-    world, call = idle_switch()
-    world.replace_process()
-    world.advance(LEASE_US - PROBE_IDLE_US - PROBE_ROUND_TRIP_US - 1)
-    assert call in world.ended_unreported, "not sooner than it has to be"
-    world.advance(PROBE_IDLE_US + PROBE_ROUND_TRIP_US + 1)
+def test_a_call_is_given_up_a_lease_after_the_last_data_from_its_process() -> None:
+    switch, call = idle_switch()
+    switch.replace_process()
+    switch.advance(LEASE_US - PROBE_IDLE_US - PROBE_ROUND_TRIP_US - 1)
+    assert call in switch.ended_unreported, "not before the lease has expired"
+    switch.advance(PROBE_IDLE_US + PROBE_ROUND_TRIP_US + 1)
     assert (
-        not world.ended_unreported and not world.machine.has_calls() and world.machine.next_check_at is None
+        not switch.ended_unreported
+        and not switch.machine.has_calls()
+        and switch.machine.next_check_at is None
     )
 
 
-def test_the_word_of_a_call_proves_that_a_new_connection_leads_to_the_same_process() -> None:
-    world, call = idle_switch()
-    other = world.stand(2)
-    world.reset_all()
-    world.advance(SECOND)
-    (new,) = world.process_of
-    del world.calls[other]
-    assert world.machine.call_released(other, new)
-    world.cut_off_calls = frozenset()
-    world.advance(30 * SECOND)
-    assert list(world.calls) == [call]
-
-
-def test_a_removed_switch_that_is_silent_is_given_up_soon_and_one_that_answers_is_not() -> None:
-    world, call = idle_switch()
-    world.machine.switch_removed(world.now)
-    world.carry_out(world.machine.probe_all(world.now))
-    world.advance(20 * SECOND)
-    assert list(world.calls) == [call]
-    world.replace_process()
-    world.advance(REMOVED_LEASE_US)
-    assert not world.calls
-
-
-def test_after_a_stall_of_ours_what_has_arrived_is_read_before_anything_is_judged() -> None:
-    world, call = idle_switch()
-    world.now += LEASE_US + STALL_THRESHOLD_US
-    assert world.machine.check(world.now) == []
-    for connection in world.process_of:
-        world.receive(connection)
-    world.advance(10 * SECOND)
-    assert list(world.calls) == [call]
-
-
-def test_without_probes_silence_proves_nothing_but_lost_connections_do() -> None:
-    world = SimulatedSwitch(may_probe=False)
-    call = world.stand(1)
-    world.machine.schedule_check(world.now, 0)
-    world.advance(60 * SECOND)
-    assert list(world.calls) == [call]
-    world.replace_process()
-    for connection in list(world.process_of):
-        world.lose(connection)
-    world.machine.schedule_check(world.now, 0)
-    world.advance(LEASE_US)
-    assert not world.calls
-
-
-def test_a_forgotten_connection_that_carries_a_call_is_replaced_while_its_process_is_heard() -> None:
+def test_a_release_proves_that_a_new_connection_leads_to_the_same_process() -> None:
+    switch, call = idle_switch()
+    other = switch.stand(2)
+    switch.reset_all()
+    switch.advance(SECOND)
+    (new,) = switch.process_of
+    del switch.calls[other]
+    assert switch.machine.call_released(other, new)
+    switch.cut_off_calls = frozenset()
+    switch.advance(30 * SECOND)
+    assert list(switch.calls) == [call]
+
+
+def test_calls_on_a_removed_switch_are_given_up_soon_if_it_is_silent_and_kept_if_it_answers() -> None:
+    switch, call = idle_switch()
+    switch.machine.switch_removed(switch.now)
+    switch.execute(switch.machine.probe_all(switch.now))
+    switch.advance(20 * SECOND)
+    assert list(switch.calls) == [call]
+    switch.replace_process()
+    switch.advance(REMOVED_LEASE_US)
+    assert not switch.calls
+
+
+def test_after_a_stall_of_the_router_received_data_is_read_before_leases_expire() -> None:
+    switch, call = idle_switch()
+    switch.now += LEASE_US + STALL_THRESHOLD_US
+    assert switch.machine.check(switch.now) == []
+    for connection in switch.process_of:
+        switch.receive(connection)
+    switch.advance(10 * SECOND)
+    assert list(switch.calls) == [call]
+
+
+def test_without_probes_leases_expire_only_after_connections_are_lost() -> None:
+    switch = SimulatedSwitch(may_probe=False)
+    call = switch.stand(1)
+    switch.machine.schedule_check(switch.now, 0)
+    switch.advance(60 * SECOND)
+    assert list(switch.calls) == [call]
+    switch.replace_process()
+    for connection in list(switch.process_of):
+        switch.lose(connection)
+    switch.machine.schedule_check(switch.now, 0)
+    switch.advance(LEASE_US)
+    assert not switch.calls
+
+
+def test_a_silent_connection_with_a_call_is_replaced_while_others_to_its_process_are_active() -> None:
     machine = SwitchLiveness(may_probe=True)
     for connection in (1, 2):
         machine.connection_opened(0, connection)
         machine.data_received(0, connection)
     machine.call_answered("c1", 1)
-    orders: list[LivenessAction] = []
+    actions: list[LivenessAction] = []
     for now in range(SECOND, CONNECTION_PROBE_IDLE_US + PROBE_TIMEOUT_US + SECOND, SECOND // 2):
         machine.data_received(now, 2)
-        orders += machine.check(now)
-    assert orders == [SendProbe(1), ReplaceConnection(1)]
+        actions += machine.check(now)
+    assert actions == [SendProbe(1), ReplaceConnection(1)]
 
 
-def test_one_connection_is_asked_first_and_the_others_once_it_does_not_answer() -> None:
+def test_one_connection_is_probed_first_and_the_others_once_it_does_not_answer() -> None:
     machine = SwitchLiveness(may_probe=True)
     for connection in (1, 2, 3):
         machine.connection_opened(0, connection)
@@ -270,10 +272,10 @@
         machine.data_received(MAX_DELIVERY_DELAY_US, connection)
     for connection in (1, 2, 3):
         machine.call_answered(f"c{connection}", connection)
-    begun = MAX_DELIVERY_DELAY_US + PROBE_IDLE_US
-    assert machine.check(begun) == [SendProbe(1)]
-    assert machine.check(begun + PROBE_TIMEOUT_US - 1) == []
-    assert machine.check(begun + PROBE_TIMEOUT_US) == [ReplaceConnection(1), SendProbe(2), SendProbe(3)]
+    probed_at = MAX_DELIVERY_DELAY_US + PROBE_IDLE_US
+    assert machine.check(probed_at) == [SendProbe(1)]
+    assert machine.check(probed_at + PROBE_TIMEOUT_US - 1) == []
+    assert machine.check(probed_at + PROBE_TIMEOUT_US) == [ReplaceConnection(1), SendProbe(2), SendProbe(3)]
 
 
 def test_a_connection_that_answers_no_probe_is_replaced() -> None:
--- a/tests/test_middleware.py
+++ b/tests/test_middleware.py
@@ -1,4 +1,4 @@
-"""The admission middleware, bare and under Starlette."""
+"""AdmissionMiddleware alone and under Starlette, with a manual clock."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ManualClock:
-    """Time that stands still unless it is moved."""
+    """A clock in nanoseconds that only tests advance."""
 
     now = 10**12
 
@@ -47,48 +47,50 @@
         clock.now += work_ms[0] * MS
         return PlainTextResponse("parcel")
 
-    guard = Middleware(AdmissionMiddleware, aim_s=0.4, deadline_s=5.0, clock=clock)
-    return Starlette(routes=[Route("/", page)], middleware=[guard])
+    middleware = Middleware(AdmissionMiddleware, aim_s=0.4, deadline_s=5.0, clock=clock)
+    return Starlette(routes=[Route("/", page)], middleware=[middleware])
 
 
-def test_requests_pass_while_answers_are_quick() -> None:
-    clock, work = ManualClock(), [20]
-    app = make_app(clock, work)
+def test_requests_pass_while_responses_are_quick() -> None:
+    clock, work_ms = ManualClock(), [20]
+    app = make_app(clock, work_ms)
     for _ in range(200):
         assert get(app)[::2] == (200, b"parcel")
         clock.now += 10 * MS
 
 
-def test_late_answers_shut_the_gate_and_quick_ones_open_it_again() -> None:
-    clock, work = ManualClock(), [20]
-    app = make_app(clock, work)
+def test_late_responses_throttle_and_quick_ones_lift_it() -> None:
+    clock, work_ms = ManualClock(), [20]
+    app = make_app(clock, work_ms)
     for _ in range(100):
         get(app)
-    work[0] = 300  # past the target of 100 ms
-    verdicts = []
+    work_ms[0] = 300  # above the delay target of 100 ms
+    statuses = []
     for _ in range(60):
         status, headers, _ = get(app)
-        verdicts.append(status)
+        statuses.append(status)
         if status == 503:
             assert 1 <= int(headers[b"retry-after"]) <= 10
             clock.now += 5 * MS
-    assert verdicts.count(503) > 5 and 200 in verdicts
-    work[0] = 10
+    assert statuses.count(503) > 5 and 200 in statuses
+    work_ms[0] = 10
     for _ in range(2000):
-        verdicts.append(get(app)[0])
+        statuses.append(get(app)[0])
         clock.now += 20 * MS
-    assert set(verdicts[-500:]) == {200}
+    assert set(statuses[-500:]) == {200}
 
 
-def test_a_request_that_fails_leaves_nothing_behind() -> None:
+def test_failed_request_leaves_no_state() -> None:
     async def broken(scope: Any, receive: Any, send: Any) -> None:
         raise RuntimeError("odd")
 
-    guard = AdmissionMiddleware(broken, clock=ManualClock())
+    middleware = AdmissionMiddleware(broken, clock=ManualClock())
     for _ in range(3):
         with pytest.raises(RuntimeError):
-            get(guard)
-    assert not guard.agent.pending and not any(far.unanswered for far in guard.agent.exchanges.values())
+            get(middleware)
+    assert not middleware.agent.pending_calls and not any(
+        far.unanswered for far in middleware.agent.exchanges.values()
+    )
 
 
 def test_other_scopes_pass_through() -> None:
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -1,4 +1,7 @@
-"""Whole paths on loopback: callers and switches of both kinds around one router, watched at both ends."""
+"""Complete calls on loopback: SIP and IAX2 callers, one router, and JSON lines and IAX2 switches.
+
+A rule checker observes both ends.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +53,7 @@
 
 
 @pytest.mark.parametrize(("calling", "called"), PAIRS)
-def test_a_call_stands_and_is_released_from_either_side(calling: str, called: str) -> None:
+def test_call_stands_and_is_released_by_either_side(calling: str, called: str) -> None:
     async def test() -> None:
         network = LocalNetwork()
         switch = add_switch(network, called)
@@ -58,7 +61,7 @@
             caller = await start_caller(network, calling)
             caller.dial("71")
             assert await caller.wait_for_answer("71") == ("answer", "sdp 71 answered")
-            await asyncio.wait_for(caller.end_events["71"].wait(), 5)  # the switch ends it
+            await asyncio.wait_for(caller.end_events["71"].wait(), 5)  # released by the switch
             switch.hold_s = 60
             caller.dial("72")
             await caller.wait_for_answer("72")
@@ -78,7 +81,7 @@
 
 
 @pytest.mark.parametrize(("calling", "called"), PAIRS)
-def test_a_caller_takes_its_set_up_back(calling: str, called: str) -> None:
+def test_caller_cancels_its_set_up(calling: str, called: str) -> None:
     async def test() -> None:
         network = LocalNetwork()
         switch = add_switch(network, called)
@@ -96,7 +99,7 @@
 
 
 @pytest.mark.parametrize(("calling", "called"), PAIRS)
-def test_a_silent_switch_is_given_up_in_time(calling: str, called: str) -> None:
+def test_call_to_unresponsive_switch_is_refused_in_time(calling: str, called: str) -> None:
     async def test() -> None:
         network = LocalNetwork()
         switch = add_switch(network, called)
@@ -104,8 +107,8 @@
         async with network:
             caller = await start_caller(network, calling)
             caller.dial("71", left_s=0.4)
-            verdict, details = await caller.wait_for_answer("71")
-            assert verdict == ("503" if calling == "sip" else "42")
+            answer, details = await caller.wait_for_answer("71")
+            assert answer == ("503" if calling == "sip" else "42")
             assert details == ("1" if calling == "sip" else "no way now, come back after 1 s")
             await wait_until(lambda: not switch.calls)
             network.checker.assert_all_answered()
@@ -113,7 +116,7 @@
     run(test)
 
 
-def test_an_iax2_switch_that_resets_mid_set_up_is_not_asked_again_too_soon() -> None:
+def test_set_up_lost_by_reset_of_iax2_switch_is_not_repeated_too_soon() -> None:
     async def test() -> None:
         network = LocalNetwork()
         switch = network.add_iax_switch("s1", 1)
@@ -124,15 +127,15 @@
             caller.dial("71", left_s=6.0)
             await wait_until(lambda: switch.accepted == 1)
             switch.lose_state()  # it answers the next PING with INVAL, which ends the attempt as reset
-            verdict, _ = await caller.wait_for_answer("71")
-            assert verdict == "answer" and other.accepted == 1, "sent on over the other switch"
+            answer, _ = await caller.wait_for_answer("71")
+            assert answer == "answer" and other.accepted == 1, "not rerouted over the other switch"
             await asyncio.wait_for(caller.end_events["71"].wait(), 5)
             network.checker.assert_all_answered()
 
     run(test)
 
 
-def test_an_iax2_caller_that_resets_mid_set_up_gives_its_call_up() -> None:
+def test_reset_of_iax2_caller_cancels_its_set_up() -> None:
     async def test() -> None:
         network = LocalNetwork()
         switch = network.add_json_switch("s1", 1)
@@ -143,7 +146,7 @@
             await wait_until(lambda: switch.accepted == 1)
             network.checker.ended_by_caller("71")
             reused = caller.legs["71"].session.number
-            caller.endpoint.legs.clear()  # it comes up again and begins anew under the same number
+            caller.endpoint.legs.clear()  # it restarts and reuses the same call number
             caller.endpoint.last_call_number = reused - 1
             switch.answers_calls = True
             await asyncio.sleep(0.01)
@@ -158,17 +161,17 @@
 
 
 @pytest.mark.parametrize(("calling", "between"), [("iax", "sip"), ("sip", "iax")])
-def test_a_call_transits_a_switch_of_the_other_kind(calling: str, between: str) -> None:
-    """Station - router 0 - tandem 2 - the tandem's own router 2 - switch 1.
+def test_call_transits_switch_of_other_protocol(calling: str, between: str) -> None:
+    """The path is station - router 0 - tandem 2 - the tandem's own router 2 - switch 1.
 
-    The station and the last switch speak one wire; towards the tandem, and from it to its router, a call in
-    transit speaks the other: over JSON lines and SIP, or over IAX2 both times.
+    The station and the last switch use one protocol pair (SIP and JSON lines, or IAX2). The legs to the
+    tandem and from it to its router use the other.
     """
 
     async def test() -> None:
         near, far = LocalNetwork(own_exchange=0), LocalNetwork(own_exchange=2)
         tandem = add_switch(near, between, "s2", 2)
-        full = near.add_json_switch("s1", 1)  # the direct way
+        full = near.add_json_switch("s1", 1)  # the direct route
         end = add_switch(far, calling)
         async with near, far:
             full.write("status", "", {"load": "x0:0;x1:500"})
@@ -187,44 +190,44 @@
 
 
 def connect_tandem(tandem: Any, onward: Caller) -> None:
-    """Lets a stand-in switch hand its calls on to the router that stands at it."""
+    """Makes a stand-in switch forward its calls to its own router, through the caller `onward`."""
     tandem.answers_calls = False
-    taken = tandem.set_up_received
+    original = tandem.set_up_received
 
-    def offered(call: Any, key: str, text: str) -> None:
-        taken(call, key, text)
-        tasks.append(asyncio.get_running_loop().create_task(hand_on(call, key)))
+    def set_up_received(call: Any, key: str, text: str) -> None:
+        original(call, key, text)
+        tasks.append(asyncio.get_running_loop().create_task(forward(call, key)))
 
-    async def hand_on(call: Any, key: str) -> None:
+    async def forward(call: Any, key: str) -> None:
         onward.dial(key, route="dest:1;width:1;via:0;transit:1")
-        verdict, details = await onward.wait_for_answer(key)
-        assert verdict == "answer"
+        answer, details = await onward.wait_for_answer(key)
+        assert answer == "answer"
         tandem.checker.stood(key)
         tandem.answer(call, details)
         await onward.end_events[key].wait()
         tandem.end_call(call)
 
     tasks: list[asyncio.Task[None]] = []
-    tandem.set_up_received = offered
+    tandem.set_up_received = set_up_received
 
 
-def test_drains_are_kept_by_both_kinds_of_links() -> None:
+def test_both_kinds_of_links_respect_draining() -> None:
     async def test() -> None:
         network = LocalNetwork()
         switches = [network.add_json_switch("s1", 1), network.add_iax_switch("s2", 2)]
         async with network:
             callers = [await start_caller(network, kind) for kind in CALLER_KINDS]
             network.change_log.add(
-                False, *(host_entry(one.name, one.number, one.port, "draining") for one in switches)
+                False,
+                *(host_entry(switch.name, switch.number, switch.port, "draining") for switch in switches),
             )
             await wait_until(lambda: not network.router.ledger.is_up("s2"))
-            for one in switches:
-                network.checker.draining_since[one.name] = (
-                    time.monotonic() - 2.0
-                )  # at once, since the router knows
-            for at, caller in enumerate(callers):
-                caller.dial(f"7{at}", route=f"dest:{1 + at};width:1")
-            assert [(await one.wait_for_answer(f"7{at}"))[0] for at, one in enumerate(callers)] == [
+            for switch in switches:
+                # in the past, as the router already knows: no more set-ups are tolerated
+                network.checker.draining_since[switch.name] = time.monotonic() - 2.0
+            for index, caller in enumerate(callers):
+                caller.dial(f"7{index}", route=f"dest:{1 + index};width:1")
+            assert [(await one.wait_for_answer(f"7{index}"))[0] for index, one in enumerate(callers)] == [
                 "503",
                 "42",
             ]
@@ -233,7 +236,7 @@
     run(test)
 
 
-def test_mixed_traffic_at_120_percent_keeps_the_rules() -> None:
+def test_mixed_traffic_at_120_percent_load_breaks_no_rule() -> None:
     async def test() -> None:
         network = LocalNetwork()
         switches = [
@@ -242,21 +245,22 @@
         ]
         async with network:
             callers: list[Caller] = [await start_caller(network, kind) for kind in CALLER_KINDS]
-            for one in switches:
-                one.hold_s = 0.1
-            capacity = sum(one.capacity / (one.hold_s + 0.005) for one in switches)  # calls a second
-            begun, span, count = time.monotonic(), 3.0, 0
-            while (past := time.monotonic() - begun) < span:
-                while count < past * capacity * 1.2:
+            for switch in switches:
+                switch.hold_s = 0.1
+            # calls per second
+            capacity = sum(switch.capacity / (switch.hold_s + 0.005) for switch in switches)
+            started, duration_s, count = time.monotonic(), 3.0, 0
+            while (elapsed := time.monotonic() - started) < duration_s:
+                while count < elapsed * capacity * 1.2:
                     route = f"dest:{1 + count // 2 % 2};width:1;via:-1"
                     callers[count % 2].dial(f"n{count}", left_s=0.8, route=route)
                     count += 1
                 await asyncio.sleep(0.002)
-            answers = [await callers[at % 2].wait_for_answer(f"n{at}") for at in range(count)]
-            stood = sum(verdict == "answer" for verdict, _ in answers)
-            assert count > span * capacity  # more than all can take came indeed,
-            assert stood > count / 4  # and much of it stood, over both wires
-            assert all(one.accepted > 50 for one in switches)
+            answers = [await callers[index % 2].wait_for_answer(f"n{index}") for index in range(count)]
+            stood = sum(answer == "answer" for answer, _ in answers)
+            assert count > duration_s * capacity  # the offered load exceeded the capacity
+            assert stood > count / 4  # and many calls stood, over both protocols
+            assert all(switch.accepted > 50 for switch in switches)
             await wait_until(lambda: not network.checker.standing)
             await wait_until(lambda: not network.checker.release_sent_at)
             network.checker.assert_all_answered()
@@ -264,7 +268,7 @@
     run(test)
 
 
-def test_a_poke_is_answered_and_a_frame_of_no_call_gets_inval() -> None:
+def test_poke_is_answered_and_frame_of_unknown_call_gets_inval() -> None:
     async def test() -> None:
         network = LocalNetwork()
         network.add_json_switch("s1", 1)
@@ -277,14 +281,14 @@
             leg = caller.endpoint.open_leg(
                 ("127.0.0.1", network.iax_port), IaxCallHandler(None, ended=lambda frame: lost.set())
             )
-            leg.session.remote_number = 77  # a call that the router does not know
+            leg.session.remote_number = 77  # unknown to the router
             leg.send(FrameType.IAX, Iax.PING)
             await asyncio.wait_for(lost.wait(), 2)
 
     run(test)
 
 
-def test_a_malformed_new_is_rejected_with_its_cause() -> None:
+def test_malformed_new_is_rejected_with_cause() -> None:
     async def test() -> None:
         network = LocalNetwork()
         network.add_json_switch("s1", 1)
@@ -306,7 +310,7 @@
     run(test)
 
 
-def test_of_a_pair_only_the_active_router_takes_new_iax2_calls() -> None:
+def test_only_active_router_of_pair_takes_new_iax2_calls() -> None:
     async def test() -> None:
         first, second = free_ports(2)
         networks = []
@@ -326,7 +330,7 @@
                     caller.dial("71")
                 assert (await callers[0].wait_for_answer("71"))[0] == "answer"
                 assert await callers[1].wait_for_answer("71") == ("41", "backup router, come back after 1 s")
-                # a better router comes up: this one turns backup, and its call goes on to its end
+                # a router of higher priority appears: this one becomes backup, and its call continues
                 networks[0].router.pair.machine.receive(
                     now_us(), Advert(7, 255, 5, "127.0.0.9"), ("127.0.0.1", 1)
                 )
@@ -336,7 +340,7 @@
                 switch.end_call(next(iter(switch.calls)))
                 await asyncio.wait_for(callers[0].end_events["71"].wait(), 2)
                 networks[0].checker.assert_all_answered()
-            await wait_until(networks[1].router.accepts_iax_calls)  # the first one has ended
+            await wait_until(networks[1].router.accepts_iax_calls)  # the first router has stopped
             callers[1].dial("72")
             assert (await callers[1].wait_for_answer("72"))[0] == "answer"
             networks[1].checker.ended_by_caller("72")
@@ -347,8 +351,9 @@
     run(test)
 
 
-def test_an_answer_and_the_callers_hangup_in_one_turn_release_the_switch() -> None:
-    # The front had forgotten the call when the answer, heard just before, was to be passed on.
+def test_answer_and_callers_hangup_in_one_turn_release_call_at_switch() -> None:
+    """The front had already removed the call when the answer, received just before, was passed on to it."""
+
     async def test() -> None:
         network = LocalNetwork()
         switch = network.add_json_switch("s1", 1)
@@ -369,7 +374,7 @@
     run(test)
 
 
-def test_a_call_that_stands_at_sigterm_stands_on_and_the_next_run_tells_of_its_end() -> None:
+def test_call_standing_at_sigterm_survives_and_next_run_reports_its_end() -> None:
     async def test() -> None:
         network = LocalNetwork()
         switch = network.add_json_switch("s1", 1)
@@ -381,11 +386,11 @@
             caller = await start_caller(network, "sip")
             caller.dial("71")
             await caller.wait_for_answer("71")
-            begun = time.monotonic()
+            started = time.monotonic()
             network.router.stop.set()
             await network.running
-            # SIGKILL may come 0.7 s after the longest deadline, which counts as 3 s only where it is longer.
-            assert 1.5 + 0.2 < time.monotonic() - begun < 1.5 + 0.7
+            # SIGKILL may come 0.7 s after the longest deadline, 1.5 s here; at most 3 s of it count.
+            assert 1.5 + 0.2 < time.monotonic() - started < 1.5 + 0.7
             assert list(switch.calls) == ["sip71"] and not caller.end_events["71"].is_set()
             before = len(switch.transports)
             await network.start(config)
@@ -399,7 +404,7 @@
     run(test)
 
 
-def test_what_is_too_long_for_a_frame_is_refused_and_the_timers_go_on() -> None:
+def test_text_too_long_for_iax2_frame_is_refused_and_timers_continue() -> None:
     async def test() -> None:
         network = LocalNetwork()
         iax = network.add_iax_switch("s1", 1)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as a process: its start, its configuration, SIGTERM, and the change log's ways."""
+"""The router as a process: start, configuration, signals, and the behaviour of the change log."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 import uvloop
 from conftest import START
 from standins import (
+    AssertingRuleChecker,
     ChangeLogServer,
     JsonSwitch,
     LocalNetwork,
-    RuleChecker,
     SipCaller,
     free_ports,
     host_entry,
@@ -49,20 +49,20 @@
 
 
 def wait_until_ready(process: subprocess.Popen[str]) -> str:
-    """What the program logs until it says that it listens, which comes after its links are opened."""
+    """Returns what the router logs up to the `ready` event, which follows the opening of its links."""
     assert process.stderr is not None
     lines = [process.stderr.readline()]
     while "event=ready" not in lines[-1]:
         lines.append(process.stderr.readline())
-        assert lines[-1], "ended before it was ready"
+        assert lines[-1], "the process ended before it was ready"
     return "".join(lines)
 
 
 @pytest.mark.parametrize(
-    ("config", "words"),
+    ("config", "message"),
     [
         ("{", "Expect|Unexpected|when decoding"),
-        ({**EXAMPLE, "listen": "nowhere"}, "'nowhere' is no address"),
+        ({**EXAMPLE, "listen": "nowhere"}, "'nowhere' is not a host:port address"),
         ({**EXAMPLE, "settings": {}}, "no classes of call"),
         ({key: value for key, value in EXAMPLE.items() if key != "seed"}, "'seed' is missing"),
         (
@@ -71,14 +71,16 @@
         ),
     ],
 )
-def test_a_bad_configuration_ends_with_one_clear_line(tmp_path: Path, config: Any, words: str) -> None:
+def test_an_invalid_configuration_ends_with_a_one_line_error(
+    tmp_path: Path, config: Any, message: str
+) -> None:
     process = start(tmp_path, config)
     _, errors = process.communicate(timeout=20)
     assert process.returncode == 1
-    assert re.fullmatch(rf"rowanmast: .*({words}).*\n", errors)
+    assert re.fullmatch(rf"rowanmast: .*({message}).*\n", errors)
 
 
-def test_no_configuration_and_a_bad_settings_file(tmp_path: Path) -> None:
+def test_a_missing_configuration_or_settings_file_ends_with_a_one_line_error(tmp_path: Path) -> None:
     process = start(tmp_path, EXAMPLE, ROWANMAST_SETTINGS=str(tmp_path / "none.txtpb"))
     _, errors = process.communicate(timeout=20)
     assert process.returncode == 1 and errors.count("\n") == 1 and "No such file" in errors
@@ -87,9 +89,9 @@
     assert process.returncode == 1 and errors == "rowanmast: PROXY_CONFIG is not set\n"
 
 
-def test_sigterm_answers_all_that_was_taken_also_just_after(tmp_path: Path) -> None:
+def test_after_sigterm_all_calls_are_answered_including_late_ones(tmp_path: Path) -> None:
     async def test() -> None:
-        checker = RuleChecker(time.monotonic, 0.2, tolerance_s=0.07)
+        checker = AssertingRuleChecker(time.monotonic, 0.2, tolerance_s=0.07)
         listen, log, at = free_ports(3)
         switch = JsonSwitch("s1", 1, at, checker)
         switch.hold_s = 0.2
@@ -121,7 +123,7 @@
             switch.answers_calls = True
             switch.stand("sip72", "sdp 72")
             assert (await caller.wait_for_answer("72"))[0] == "answer"
-            late = SipCaller(checker, listen)  # callers still come for a little while
+            late = SipCaller(checker, listen)  # new calls are still accepted for a short time
             await late.start()
             late.dial("73")
             assert (await late.wait_for_answer("73"))[0] == "answer"
@@ -138,7 +140,7 @@
     uvloop.run(test())
 
 
-def test_sighup_turns_to_the_new_change_log_and_keeps_on_after_a_bad_file(tmp_path: Path) -> None:
+def test_sighup_switches_the_change_log_and_ignores_an_invalid_file(tmp_path: Path) -> None:
     async def test() -> None:
         listen, first, second = free_ports(3)
         logs = [ChangeLogServer(first), ChangeLogServer(second)]
@@ -160,10 +162,10 @@
             logs[1].events = [{"seq": 1}, {"seq": 2}]
             logs[1].send_changes()
             await wait_until(lambda: logs[1].requested_since == [1, 2], 1)
-            asked = len(logs[0].requested_since)
+            requests = len(logs[0].requested_since)
             process.send_signal(signal.SIGTERM)
             await wait_until(lambda: process.poll() is not None, 5)
-            assert len(logs[0].requested_since) == asked, "the old one is asked no more"
+            assert len(logs[0].requested_since) == requests, "the former change log gets no more requests"
         finally:
             process.kill()
         errors = process.communicate()[1]
@@ -174,31 +176,33 @@
     uvloop.run(test())
 
 
-def test_a_change_log_that_stops_is_asked_anew_in_time() -> None:
+def test_a_change_log_that_stalls_is_requested_again_in_time() -> None:
     async def test() -> None:
         network = LocalNetwork()
         network.add_json_switch("s1", 1)
         async with network:
             stopped = network.change_log.transport
-            network.change_log.pending_request = None  # it holds the question for good
-            stopped.write(b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"seq"')  # and stops in an event
+            network.change_log.pending_request = None  # it never answers the pending request,
+            # and the connection stalls in the middle of an answer
+            stopped.write(b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"seq"')
             await wait_until(lambda: network.change_log.transport is not stopped, 2.5)
 
     uvloop.run(test())
 
 
 @pytest.mark.parametrize(("late_s", "piece_s"), [(2.5, 0.0), (0.0, 0.1)], ids=["late", "in pieces"])
-def test_a_slow_change_log_is_heard_and_not_given_up_for_ever(late_s: float, piece_s: float) -> None:
-    # An answer 2.5 s late, or one that took 3 s to come, was never heard.
+def test_a_slow_answer_of_the_change_log_is_received(late_s: float, piece_s: float) -> None:
+    # Guards against time-outs that are too short: an answer that came 2.5 s late, or took 3 s to arrive in
+    # pieces, was never received.
     body = json.dumps({"seq": 1, "results": [{"seq": 1}]}).encode()
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-    asked = 0
+    requests = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal asked
+        nonlocal requests
         while (await reader.readline()).startswith(b"GET"):
             await reader.readuntil(b"\r\n\r\n")
-            asked += 1
+            requests += 1
             await asyncio.sleep(1.0 + late_s)
             pieces = 30 if piece_s else 1
             size = -(-len(answer) // pieces)
@@ -209,12 +213,12 @@
 
     async def test() -> None:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        told: list[int] = []
+        received: list[int] = []
         address = server.sockets[0].getsockname()
-        changes = ChangeLogClient(address, Reader(), 0, lambda change: told.append(change.seq), Random(1))
+        changes = ChangeLogClient(address, Reader(), 0, lambda change: received.append(change.seq), Random(1))
         changes.start()
-        await wait_until(lambda: told == [1], 1.0 + late_s + 3.5)
-        assert asked <= 3
+        await wait_until(lambda: received == [1], 1.0 + late_s + 3.5)
+        assert requests <= 3
         changes.stop()
         await wait_until(lambda: not changes.connections, 1)
         server.close()
@@ -222,22 +226,22 @@
     uvloop.run(test())
 
 
-def test_an_event_counts_as_heard_once_it_is_carried_out() -> None:
-    told: list[int] = []
+def test_a_change_counts_as_received_only_after_it_has_been_applied() -> None:
+    received: list[int] = []
 
-    def tell(change: Change) -> None:
-        told.append(change.seq)
-        if len(told) == 1:
+    def apply(change: Change) -> None:
+        received.append(change.seq)
+        if len(received) == 1:
             raise RuntimeError("odd")
 
-    changes = ChangeLogClient(("127.0.0.1", 1), Reader(), 0, tell, Random(1))
+    changes = ChangeLogClient(("127.0.0.1", 1), Reader(), 0, apply, Random(1))
     with pytest.raises(RuntimeError):
         changes.handle_body(b'{"results":[{"seq":1},{"seq":2}]}')
     changes.handle_body(b'{"results":[{"seq":1},{"seq":2}]}')
-    assert told == [1, 1, 2] and changes.seq == 2
+    assert received == [1, 1, 2] and changes.seq == 2
 
 
-def test_changes_come_as_they_are_made_and_after_a_break() -> None:
+def test_changes_are_applied_as_they_are_made_and_after_a_lost_connection() -> None:
     async def test() -> None:
         network = LocalNetwork()
         old = network.add_json_switch("s1", 1)
@@ -247,7 +251,7 @@
             network.change_log.transport.abort()
             network.change_log.add(False, host_entry("s1", 1, old.port, "draining"))
             await wait_until(lambda: ledger.listed["s1"].state is api.ExchangeState.DRAINING)
-            old.stop()  # a new machine takes the address of the one that is gone
+            old.stop()  # a new machine takes over the address
             await new.start()
             network.change_log.add(
                 False, host_entry("s1", 1, old.port, "gone"), host_entry("s2", 2, old.port)
@@ -259,7 +263,7 @@
             assert (await caller.wait_for_answer("71"))[0] == "answer"
             assert new.accepted == 1
             assert list(network.router.listed_links) == list(network.router.links) == ["s2"], (
-                "the gone are forgotten"
+                "links to removed switches are deleted"
             )
             network.change_log.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{")  # not JSON
             await asyncio.sleep(0.3)
@@ -271,7 +275,7 @@
     uvloop.run(test())
 
 
-def test_a_whole_list_closes_the_links_that_it_lacks_once_their_calls_are_over() -> None:
+def test_links_missing_from_a_full_list_are_closed_once_their_calls_have_ended() -> None:
     async def test() -> None:
         network = LocalNetwork()
         first, second = network.add_json_switch("s1", 1), network.add_json_switch("s2", 2)
@@ -285,7 +289,7 @@
             await wait_until(lambda: sum(not one.is_closing() for one in first.transports) == 1, 1)
             caller.dial("72", left_s=0.3)
             assert (await caller.wait_for_answer("72"))[0] == "503" and first.accepted == 1
-            await asyncio.sleep(2.5)  # longer than a removed switch may be silent: it answers probes
+            await asyncio.sleep(2.5)  # longer than the lease of a removed switch: it answers probes
             assert not caller.end_events["71"].is_set()
             await asyncio.wait_for(caller.end_events["71"].wait(), 1.5)
             await wait_until(lambda: all(one.is_closing() for one in first.transports), 1)
@@ -296,7 +300,7 @@
 
 
 @pytest.mark.parametrize("end", ["closed", "silent", "moved"])
-def test_calls_on_a_removed_switch_are_over_when_it_is_lost(end: str) -> None:
+def test_calls_on_a_removed_switch_end_when_it_is_lost(end: str) -> None:
     async def test() -> None:
         network = LocalNetwork()
         first, second = network.add_json_switch("s1", 1), network.add_json_switch("s2", 2)
@@ -307,7 +311,7 @@
             caller.dial("71")
             await caller.wait_for_answer("71")
             first.answers_probes = end != "silent"
-            if end == "moved":  # listed at another address: its machine is another one
+            if end == "moved":  # listed at another address: another machine
                 network.checker.released_by_switch("71")
                 network.change_log.add(False, host_entry("s1", 1, network.spare_ports.pop()))
             else:
@@ -327,7 +331,7 @@
     uvloop.run(test())
 
 
-def test_callers_hear_in_time_of_calls_on_switches_of_both_kinds_that_fall_silent() -> None:
+def test_calls_on_silent_switches_are_released_in_time_over_json_lines_and_iax2() -> None:
     async def test() -> None:
         network = LocalNetwork()
         json_switch, iax_switch = network.add_json_switch("s1", 1), network.add_iax_switch("s2", 2)
@@ -346,7 +350,7 @@
     uvloop.run(test())
 
 
-def test_a_refused_connect_proves_that_nothing_ran_and_cuts_what_stood() -> None:
+def test_a_refused_connect_proves_the_process_dead_and_cuts_its_calls() -> None:
     async def test() -> None:
         network = LocalNetwork()
         first, second = network.add_json_switch("s1", 1), network.add_json_switch("s2", 2)
@@ -357,18 +361,20 @@
             caller.dial("71")
             await caller.wait_for_answer("71")
             network.checker.released_by_switch("71")
-            first.stop()  # the process dies: its connection is reset, its calls are cut
+            first.stop()  # the process dies: its connections are reset and its calls are cut
             await asyncio.wait_for(caller.end_events["71"].wait(), 1)
-            begun = time.monotonic()
-            caller.dial("72", left_s=0.3)  # too little to wait until the switch is back
+            started_at = time.monotonic()
+            caller.dial("72", left_s=0.3)  # too short to wait for the switch to come back
             assert (await caller.wait_for_answer("72"))[0] == "503" and second.accepted == 0
-            assert time.monotonic() - begun < 0.2, "nothing ran, so there is no release to await"
+            assert time.monotonic() - started_at < 0.2, (
+                "the connect was refused, so there is no release to wait for"
+            )
             network.checker.assert_all_answered()
 
     uvloop.run(test())
 
 
-def test_a_silent_connection_to_a_switch_is_given_up_by_the_kernel() -> None:
+def test_connections_to_switches_have_kernel_timeouts_for_silence() -> None:
     async def test() -> None:
         network = LocalNetwork()
         network.add_json_switch("s1", 1)
@@ -382,7 +388,7 @@
     uvloop.run(test())
 
 
-def test_lists_are_read_and_times_are_mapped_once() -> None:
+def test_change_log_entries_are_read_and_start_times_converted() -> None:
     reader = Reader()
     reader.offset_ns = START - 5_000_000_000
     entry = {**host_entry("s1", 1, 9), "born_ms": 5_000}
--- a/tests/test_routing_middleware.py
+++ b/tests/test_routing_middleware.py
@@ -1,4 +1,4 @@
-"""The routing middlewares in real applications on loopback: Starlette under uvicorn, WSGI under threads."""
+"""The routing middlewares in applications on loopback: Starlette with uvicorn, and a threaded WSGI server."""
 
 from __future__ import annotations
 
@@ -61,8 +61,8 @@
     call = request.state.call
 
     async def parts() -> AsyncIterator[str]:
-        for at in range(200):
-            yield f"{at} {call.ending is None}\n"
+        for index in range(200):
+            yield f"{index} {call.ending is None}\n"
             await asyncio.sleep(0.02)
 
     return StreamingResponse(parts())
@@ -74,11 +74,11 @@
 
 @pytest.fixture(scope="module")
 def served(router: EmbeddedRouter) -> Iterator[tuple[str, int]]:
-    began: list[str] = []
+    seen_scopes: list[str] = []
 
     @contextlib.asynccontextmanager
     async def lifespan(app: Any) -> AsyncIterator[None]:
-        began.append("lifespan")
+        seen_scopes.append("lifespan")
         yield
 
     app = Starlette(
@@ -95,16 +95,20 @@
         thread = threading.Thread(target=server.run, kwargs={"sockets": [listening]})
         thread.start()
         wait_until(lambda: server.started)
-        assert began == ["lifespan"], "other scopes pass through"
+        assert seen_scopes == ["lifespan"], "the lifespan scope did not pass through"
         yield listening.getsockname()
         server.should_exit = True
         thread.join(5)
 
 
 def send_request(
-    at: tuple[str, int], path: str = "/lookup", method: str = "GET", body: bytes | None = None, **headers: str
+    address: tuple[str, int],
+    path: str = "/lookup",
+    method: str = "GET",
+    body: bytes | None = None,
+    **headers: str,
 ) -> tuple[int, str, http.client.HTTPResponse]:
-    connection = http.client.HTTPConnection(*at, timeout=5)
+    connection = http.client.HTTPConnection(*address, timeout=5)
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     connection.request(method, path, body=body, headers={**CALL_HEADERS, **named})
     response = connection.getresponse()
@@ -113,7 +117,7 @@
     return response.status, text.strip(), response
 
 
-def test_a_handler_gets_the_standing_call_and_its_end_releases_it(
+def test_handler_gets_standing_call_which_is_released_afterwards(
     fleet: Fleet, router: EmbeddedRouter, served: tuple[str, int]
 ) -> None:
     assert send_request(served)[:2] == (200, "at s1 True 0")
@@ -123,36 +127,36 @@
     assert router.counts() == (0, 0)
 
 
-def test_a_request_that_asks_for_no_call_passes_through(served: tuple[str, int]) -> None:
+def test_request_without_call_headers_passes_through(served: tuple[str, int]) -> None:
     connection = http.client.HTTPConnection(*served, timeout=5)
     connection.request("GET", "/lookup")
     assert connection.getresponse().read() == b"no call False 0"
     connection.close()
 
 
-def test_outcomes_become_responses(fleet: Fleet, served: tuple[str, int]) -> None:
+def test_outcomes_and_invalid_headers_become_responses(fleet: Fleet, served: tuple[str, int]) -> None:
     status, _, response = send_request(served, X_Call_Dest="77")
     assert (status, response.getheader("retry-after")) == (503, "1")
     fleet.command("mute", "s2")
-    begun = time.monotonic()
+    started = time.monotonic()
     status, text, _ = send_request(served, X_Call_Dest="2", X_Call_Class="unsafe", X_Call_Wait_Ms="300")
     assert (status, text) == (504, "no answer in time")
-    assert 0.2 < time.monotonic() - begun < 0.5
+    assert 0.2 < time.monotonic() - started < 0.5
     fleet.command("unmute", "s2")
     before = len(handled_bodies)
-    for headers, words in (
+    for headers, message in (
         ({"X_Call_Dest": "x"}, "x-call-dest: 'x' is no figure"),
-        ({"X_Call_Wait_Ms": "0"}, "x-call-wait-ms: give 1 to 3600000 milliseconds"),
+        ({"X_Call_Wait_Ms": "0"}, "x-call-wait-ms: must be 1 to 3600000 milliseconds"),
         ({"X_Call_Class": "odd"}, "klass: 'odd' is not in the settings"),
-        ({"X_Call_Width": "0"}, "width: 0 is no number of circuits"),
-        ({"X_Call_Number": ""}, "number: give 1 to"),
+        ({"X_Call_Width": "0"}, "width: 0 is not a number of circuits"),
+        ({"X_Call_Number": ""}, "number: must have 1 to"),
     ):
         status, text, _ = send_request(served, **headers)
-        assert status == 400 and text.startswith(words)
-    assert len(handled_bodies) == before, "no handler ran"
+        assert status == 400 and text.startswith(message)
+    assert len(handled_bodies) == before, "a handler ran"
 
 
-def test_a_client_that_goes_away_takes_its_call_back(
+def test_client_disconnecting_during_set_up_cancels_call(
     fleet: Fleet, router: EmbeddedRouter, served: tuple[str, int]
 ) -> None:
     fleet.command("mute", "s3")
@@ -166,7 +170,7 @@
     fleet.command("unmute", "s3")
 
 
-def test_a_client_that_leaves_a_stream_releases_the_call(
+def test_client_disconnecting_during_stream_releases_call(
     fleet: Fleet, router: EmbeddedRouter, served: tuple[str, int]
 ) -> None:
     with socket.create_connection(served) as client:
@@ -201,30 +205,32 @@
     return parts()
 
 
-def test_wsgi_handlers_get_the_call_too(fleet: Fleet, router: EmbeddedRouter) -> None:
-    guarded = WsgiRoutingMiddleware(wsgi_app, router, klass="plain", wait_s=1.0)
-    with make_server("127.0.0.1", 0, guarded, ThreadedServer, QuietHandler) as server:
-        serving = threading.Thread(target=server.serve_forever)
-        serving.start()
-        at = server.server_address[:2]
+def test_wsgi_handler_gets_standing_call(fleet: Fleet, router: EmbeddedRouter) -> None:
+    wrapped = WsgiRoutingMiddleware(wsgi_app, router, klass="plain", wait_s=1.0)
+    with make_server("127.0.0.1", 0, wrapped, ThreadedServer, QuietHandler) as server:
+        server_thread = threading.Thread(target=server.serve_forever)
+        server_thread.start()
+        address = server.server_address[:2]
         try:
-            found: list[tuple[int, str]] = []
-            asking = [threading.Thread(target=lambda: found.append(send_request(at)[:2])) for _ in range(20)]
-            for one in asking:
-                one.start()
-            for one in asking:
-                one.join()
-            assert found == [(200, "at s1 stands")] * 20
-            status, _, response = send_request(at, X_Call_Dest="77")
+            results: list[tuple[int, str]] = []
+            threads = [
+                threading.Thread(target=lambda: results.append(send_request(address)[:2])) for _ in range(20)
+            ]
+            for thread in threads:
+                thread.start()
+            for thread in threads:
+                thread.join()
+            assert results == [(200, "at s1 stands")] * 20
+            status, _, response = send_request(address, X_Call_Dest="77")
             assert (status, response.getheader("retry-after")) == (503, "1")
-            assert send_request(at, X_Call_Wait_Ms="x")[:2] == (400, "x-call-wait-ms: 'x' is no figure")
+            assert send_request(address, X_Call_Wait_Ms="x")[:2] == (400, "x-call-wait-ms: 'x' is no figure")
             wait_until(lambda: fleet.report()["standing"] == 0)
         finally:
             server.shutdown()
-            serving.join()
+            server_thread.join()
     with pytest.raises(RuntimeError, match="odd"):
-        guarded(make_environ("/broken"), lambda *_: None)
-    assert list(guarded({"PATH_INFO": "/"}, lambda *_: None)) == [b"no call", b" "]
+        wrapped(make_environ("/broken"), lambda *_: None)
+    assert list(wrapped({"PATH_INFO": "/"}, lambda *_: None)) == [b"no call", b" "]
     wait_until(lambda: router.counts() == (0, 0))
 
 
@@ -235,17 +241,17 @@
     }
 
 
-def test_a_closed_router_is_503(fleet: Fleet) -> None:
+def test_closed_router_is_answered_503(fleet: Fleet) -> None:
     closed = EmbeddedRouter(make_config(fleet, "n9"))
-    said: list[Any] = []
-    guarded = WsgiRoutingMiddleware(wsgi_app, closed, klass="plain", wait_s=1.0)
-    body = guarded(make_environ("/"), lambda *words: said.append(words))
-    assert said[0][0] == "503 Service Unavailable" and ("retry-after", "1") in said[0][1]
+    responses: list[Any] = []
+    wrapped = WsgiRoutingMiddleware(wsgi_app, closed, klass="plain", wait_s=1.0)
+    body = wrapped(make_environ("/"), lambda *arguments: responses.append(arguments))
+    assert responses[0][0] == "503 Service Unavailable" and ("retry-after", "1") in responses[0][1]
     assert list(body) == [b"the router is closed, come back later\n"]
     sent: list[Any] = []
 
     async def never() -> Any:
-        raise AssertionError("the application is not asked")
+        raise AssertionError("the application was called")
 
     async def send(message: Any) -> None:
         sent.append(message)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Rules 1, 2, 3 and 5 and determinism, over odd orders of events."""
+"""Rules 1, 2, 3 and 5, and determinism, with random sequences of events."""
 
 from __future__ import annotations
 
@@ -52,20 +52,20 @@
 
 
 class RuleChecker:
-    """Feeds an agent legal events drawn from numbers, and watches what it does against the rules."""
+    """Hands an agent valid events, built from drawn numbers, and checks its actions against the rules."""
 
     def __init__(self) -> None:
         self.agent = CallAgent(replace(SETTINGS, agents=4), 3)
         self.now = START
         self.call_count = 0
-        self.unanswered: dict[str, int] = {}  # calls that are owed an answer: deadline
+        self.unanswered: dict[str, int] = {}  # calls without a final answer: deadline
         self.answered: set[str] = set()
         self.standing: dict[str, tuple[str, int]] = {}
-        self.in_flight: dict[str, tuple[str, int]] = {}  # attempts without an outcome: exchange and number
+        self.in_flight: dict[str, tuple[str, int]] = {}  # attempts without an outcome: exchange, number
         self.attempts: dict[str, int] = {}
         self.unsafe: set[str] = set()
         self.keyed: set[str] = set()
-        self.may_have_run: dict[str, str] = {}  # and at which exchange first
+        self.may_have_run: dict[str, str] = {}  # calls that may have taken effect: the first exchange
         self.released_at: dict[str, int] = {}
         self.timers: list[tuple[int, str]] = []
         self.not_accepting: set[str] = set()
@@ -79,11 +79,13 @@
 
     def check_action(self, action: Action) -> None:
         if isinstance(action, SetUp):
-            assert action.call in self.unanswered, "rule 1: sent for a call that is answered"
-            assert action.call not in self.in_flight, "rule 2: two attempts out"
+            assert action.call in self.unanswered, "rule 1: set-up for an answered call"
+            assert action.call not in self.in_flight, "rule 2: two attempts in flight"
             ran_at = self.may_have_run.get(action.call)
-            alike = action.call in self.keyed and action.exchange == ran_at  # there a repeat is dropped
-            assert ran_at is None or alike or action.call not in self.unsafe, "rule 2: repeated"
+            deduplicated = action.call in self.keyed and action.exchange == ran_at
+            assert ran_at is None or deduplicated or action.call not in self.unsafe, (
+                "rule 2: unsafe call repeated"
+            )
             assert action.exchange not in self.not_accepting, "rule 3: sent to a draining exchange"
             assert self.now >= self.released_at.get(action.call, 0), "rule 5: release not awaited"
             assert action.timeout_ns > 0 and self.now + action.timeout_ns <= self.unanswered[action.call]
@@ -94,9 +96,11 @@
             assert action.call in self.unanswered and action.call not in self.answered, (
                 "rule 1: second answer"
             )
-            assert action.call not in self.in_flight, "rule 1: answered with an attempt out"
+            assert action.call not in self.in_flight, "rule 1: answered with an attempt in flight"
             if isinstance(action, RefuseCall):
-                assert action.call not in self.unsafe & self.may_have_run.keys(), "rule 2: refused, it ran"
+                assert action.call not in self.unsafe & self.may_have_run.keys(), (
+                    "rule 2: refused, but it may have taken effect"
+                )
             self.answered.add(action.call)
             del self.unanswered[action.call]
         elif isinstance(action, SetTimer):
@@ -144,11 +148,11 @@
             self.released_at[name] = self.now + SETTINGS.release_guard_ns
         if outcome in MAY_HAVE_RUN:
             self.may_have_run.setdefault(name, exchange)
-        owed = name in self.unanswered
-        self.handle(attempt_ended(name, exchange, outcome, number, cause=cause, final=not owed))
+        expects_answer = name in self.unanswered
+        self.handle(attempt_ended(name, exchange, outcome, number, cause=cause, final=not expects_answer))
         waits = any(token == "call " + name for _, token in self.timers)
-        assert not owed or name in self.answered or name in self.in_flight or waits, (
-            "rule 1: a call is forgotten"
+        assert not expects_answer or name in self.answered or name in self.in_flight or waits, (
+            "rule 1: a call was forgotten"
         )
 
     def do_hang(self, pick: int, _: int) -> None:
@@ -176,7 +180,7 @@
             name = token.removeprefix("call ")
             waits = any(token == other for _, other in self.timers)
             assert name not in self.unanswered or name in self.in_flight or waits, (
-                "rule 1: a call waits for nothing"
+                "rule 1: a call waits without a timer or attempt"
             )
 
     def do_wait(self, _: int, amount: int) -> None:
@@ -189,18 +193,18 @@
         )
 
     def do_stale(self, pick: int, amount: int) -> None:
-        """Events about what is no longer held, and a timer out of its time."""
-        early = self.pick_name(list(self.unanswered), pick)
-        if early is not None:
-            self.handle(TimerExpired("call " + early))
-        gone = f"c{self.call_count + 1 + pick}"
-        self.handle(TimerExpired("call " + gone))
-        self.handle(CallerHungUp(gone))
-        self.handle(attempt_ended(gone, f"x{amount}", Outcome.TIMED_OUT))
-        self.handle(CallAnswered(gone, 0, f"x{amount}", MS))
+        """Sends events about calls that are over, and a timer before its time."""
+        waiting = self.pick_name(list(self.unanswered), pick)
+        if waiting is not None:
+            self.handle(TimerExpired("call " + waiting))
+        unknown = f"c{self.call_count + 1 + pick}"
+        self.handle(TimerExpired("call " + unknown))
+        self.handle(CallerHungUp(unknown))
+        self.handle(attempt_ended(unknown, f"x{amount}", Outcome.TIMED_OUT))
+        self.handle(CallAnswered(unknown, 0, f"x{amount}", MS))
 
     def expire_attempts(self) -> None:
-        """Attempts end at their call's deadline, as the time-out is clipped to it."""
+        """Times attempts out at the deadline of their call, to which the timeout is limited."""
         for name in [
             name for name, end in self.unanswered.items() if end <= self.now and name in self.in_flight
         ]:
@@ -211,20 +215,20 @@
             assert name in self.answered, "rule 1: no answer at the deadline"
 
 
-def run_steps(drawn: list[tuple[str, int, int]]) -> RuleChecker:
-    world = RuleChecker()
-    for kind, pick, amount in drawn:
-        world.step(kind, pick, amount)
-    return world
+def run_steps(sequence: list[tuple[str, int, int]]) -> RuleChecker:
+    checker = RuleChecker()
+    for kind, pick, amount in sequence:
+        checker.step(kind, pick, amount)
+    return checker
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(steps)
-def test_rules_hold_over_odd_orders(drawn: list[tuple[str, int, int]]) -> None:
-    run_steps(drawn)
+def test_the_rules_hold_in_any_order_of_events(sequence: list[tuple[str, int, int]]) -> None:
+    run_steps(sequence)
 
 
 @settings(derandomize=True, max_examples=50, deadline=None)
 @given(steps)
-def test_same_events_give_the_same_actions(drawn: list[tuple[str, int, int]]) -> None:
-    assert run_steps(drawn).log == run_steps(drawn).log
+def test_same_events_give_the_same_actions(sequence: list[tuple[str, int, int]]) -> None:
+    assert run_steps(sequence).log == run_steps(sequence).log
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -1,7 +1,7 @@
-"""The decisions in constant time are those of the plain definitions, side by side on random traffic.
+"""Compares the constant-time bookkeeping of the call agent with straightforward definitions.
 
-`Plain` reads whole tables at every call, as the definitions say it. Both agents hear the same events; a far
-exchange answers, is late, takes nothing, drains or comes back as another process.
+`ReferenceAgent` scans whole tables at every call. Both agents get the same random events; exchanges answer,
+are late, stop answering, drain or restart as another process.
 """
 
 from __future__ import annotations
@@ -32,39 +32,42 @@
 
 
 class ReferenceAgent(CallAgent):
-    """The definitions without any account kept along the way."""
+    """Computes late set-ups and priorities by scanning the tables, without incremental bookkeeping."""
 
-    late_decisions = 0  # how often some set-up was late
+    late_decisions = 0  # decisions for which some set-up was late
 
-    def late_count(self, far: FarExchange, since: int, after: int = 0) -> int:
-        return sum(after < sent <= since for sent in far.unanswered.values())
+    def late_count(self, exchange: FarExchange, sent_until: int, sent_after: int = 0) -> int:
+        return sum(sent_after < sent <= sent_until for sent in exchange.unanswered.values())
 
-    def total_late(self, enough: float) -> int:
-        fars = [far for far in self.exchanges.values() if not far.failures]
-        late = sum(self.late_count(far, self.cutoff(far), self.last_on_time) for far in fars)
+    def total_late(self, limit: float) -> int:
+        exchanges = [exchange for exchange in self.exchanges.values() if not exchange.consecutive_failures]
+        late = sum(
+            self.late_count(exchange, self.late_cutoff(exchange), self.last_on_time_sent)
+            for exchange in exchanges
+        )
         self.late_decisions += late > 0
         return late
 
-    def compute_priority(self, held: PendingCall) -> float:
-        called = held.call
-        kind = self.config.classes[called.klass]
-        worth = kind.worth
-        held.objective = self.now + kind.objective_ns
-        if not called.transit:
+    def compute_priority(self, pending: PendingCall) -> float:
+        offered = pending.call
+        call_class = self.settings.classes[offered.klass]
+        worth = call_class.worth
+        pending.objective_end_ns = self.now + call_class.objective_ns
+        if not offered.transit:
             for key in [
-                key for key, seen in self.first_dialled.items() if self.now - seen > kind.deadline_ns
+                key for key, seen in self.first_dialled.items() if self.now - seen > call_class.deadline_ns
             ][:2]:
                 del self.first_dialled[key]
-            first = self.first_dialled.setdefault(called.key, self.now) if called.key else self.now
-            held.objective = first + kind.objective_ns
-            if self.now + self.delay_target > held.objective:
-                worth *= kind.late_worth
-        self.mean_worth += (kind.worth - self.mean_worth) * (0.02 if self.mean_worth else 1.0)
+            first = self.first_dialled.setdefault(offered.key, self.now) if offered.key else self.now
+            pending.objective_end_ns = first + call_class.objective_ns
+            if self.now + self.delay_target_ns > pending.objective_end_ns:
+                worth *= call_class.late_worth
+        self.mean_worth += (call_class.worth - self.mean_worth) * (0.02 if self.mean_worth else 1.0)
         return min(worth / max(self.mean_worth, 1e-9), MAX_PRIORITY)
 
 
 class Traffic:
-    """Calls in seeded random order, with far exchanges that at times turn slow, deaf or new."""
+    """Seeded random calls to exchanges that at times become slow, unresponsive or restart."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -72,7 +75,7 @@
         self.now = START
         self.pending_events: list[tuple[int, int, Event]] = []
         self.serial = 0
-        self.delays = [40 * MS] * EXCHANGES  # of answers; below zero: none comes
+        self.delays = [40 * MS] * EXCHANGES  # of answers; negative: no answer comes
         self.handle_both(
             exchange_list(*(list_entry(number) for number in range(EXCHANGES)), kind=ListKind.SAVED)
         )
@@ -82,16 +85,16 @@
         heapq.heappush(self.pending_events, (self.now + wait, self.serial, event))
 
     def handle_both(self, event: Event) -> None:
-        ours, plain = (agent.handle(self.now, event) for agent in self.agents)
-        assert ours == plain, f"{event} at {self.now - START}"
-        for action in ours:
+        actual, expected = (agent.handle(self.now, event) for agent in self.agents)
+        assert actual == expected, f"{event} at {self.now - START}"
+        for action in actual:
             if isinstance(action, SetTimer):
                 self.schedule(action.in_ns, TimerExpired(action.token))
             elif isinstance(action, SetUp):
                 self.schedule_outcome(action)
 
     def schedule_outcome(self, action: SetUp) -> None:
-        attempt = self.agents[0].pending[action.call].attempts - 1
+        attempt = self.agents[0].pending_calls[action.call].attempts - 1
         delay = self.delays[int(action.exchange[1:]) % EXCHANGES]
         wait = int(abs(delay) * self.random.uniform(0.5, 2.0))
         if delay < 0 or wait > action.timeout_ns:
@@ -122,7 +125,7 @@
             started = self.random.choice((None, self.now))
             self.handle_both(exchange_list(list_entry(at, state, started), kind=ListKind.CHANGES))
         elif roll < 0.021:
-            self.now += 9 * SECOND  # long enough for many numbers to be forgotten
+            self.now += 9 * SECOND  # long enough for dialled numbers to expire
         elif roll < 0.05:
             at = self.random.randrange(1, EXCHANGES)
             self.handle_both(
@@ -147,11 +150,13 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_decisions_are_those_of_the_plain_definitions(seed: int) -> None:
+def test_decisions_equal_those_of_the_reference_agent(seed: int) -> None:
     traffic = Traffic(seed)
     for _ in range(4000):
         traffic.step()
-    ours, plain = traffic.agents
-    assert isinstance(plain, ReferenceAgent) and plain.late_decisions > 20, "no late set-up was ever counted"
-    assert dict(ours.first_dialled) == dict(plain.first_dialled)
-    assert len(ours.recent_sends) < 500 and len(ours.late_exchanges) <= EXCHANGES, "the accounts stay small"
+    agent, reference = traffic.agents
+    assert isinstance(reference, ReferenceAgent) and reference.late_decisions > 20, (
+        "too few late set-ups for a comparison"
+    )
+    assert dict(agent.first_dialled) == dict(reference.first_dialled)
+    assert len(agent.recent_sends) < 500 and len(agent.late_exchanges) <= EXCHANGES, "the tables stay small"
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -1,4 +1,4 @@
-"""VRRP: its messages, its states by the RFC's table, and a pair under loss."""
+"""VRRP: advertisements, the state machine of RFC 9568, and a pair of routers under loss."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @settings(derandomize=True, max_examples=100)
 @given(st.integers(1, 255), st.integers(0, 255), st.integers(1, 4095), st.ip_addresses(v=4))
-def test_adverts_come_back_as_written(vrid: int, priority: int, interval: int, address: object) -> None:
+def test_adverts_decode_to_what_was_encoded(vrid: int, priority: int, interval: int, address: object) -> None:
     made = Advert(vrid, priority, interval, str(address))
     data = vrrp.encode(made)
     assert vrrp.decode(data) == made
@@ -44,18 +44,18 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.binary(max_size=20))
-def test_any_datagram_is_read_or_refused(data: bytes) -> None:
+def test_any_datagram_is_decoded_or_rejected(data: bytes) -> None:
     try:
         assert vrrp.decode(data).interval < 4096
     except AdvertError as error:
         assert str(error)
 
 
-def test_an_advert_is_laid_out_as_the_rfc_has_it() -> None:
+def test_an_advert_has_the_layout_of_the_rfc() -> None:
     assert vrrp.encode(Advert(1, 100, 100, "192.0.2.1")).hex() == "310164010064a897c0000201"
 
 
-def test_the_owner_is_active_at_once_and_others_wait_three_intervals_and_the_skew() -> None:
+def test_the_owner_is_active_at_once_and_others_wait_three_intervals_and_the_skew_time() -> None:
     owner = started_machine(255)
     assert owner.state is State.ACTIVE and owner.outbox == [make_advert(255)]
     backup = started_machine(100)
@@ -66,17 +66,17 @@
     assert backup.state is State.ACTIVE and backup.outbox == [make_advert(100)]
 
 
-def test_a_backup_follows_its_like_and_better_and_learns_their_interval() -> None:
+def test_a_backup_accepts_equal_or_higher_priorities_and_adopts_their_interval() -> None:
     backup = started_machine(100)
-    backup.receive(CS, make_advert(99), HIGH)  # preempted when the timer is up
+    backup.receive(CS, make_advert(99), HIGH)  # lower priority: preempted when the timer expires
     assert backup.timer_at == 300 * CS + 156 * 100 * CS // 256
     backup.receive(CS, make_advert(100, interval=10), HIGH)
     assert backup.timer_at == CS + 30 * CS + 156 * 10 * CS // 256
     backup.receive(2 * CS, make_advert(0), HIGH)
     assert backup.timer_at == 2 * CS + 156 * 10 * CS // 256
-    patient = started_machine(100, preempt=False)
-    patient.receive(CS, make_advert(1), HIGH)
-    assert patient.timer_at == CS + 300 * CS + 156 * 100 * CS // 256
+    non_preempting = started_machine(100, preempt=False)
+    non_preempting.receive(CS, make_advert(1), HIGH)
+    assert non_preempting.timer_at == CS + 300 * CS + 156 * 100 * CS // 256
 
 
 @pytest.mark.parametrize(
@@ -89,7 +89,7 @@
         (0, HIGH, State.ACTIVE),
     ],
 )
-def test_an_active_router_yields_to_the_better_and_asserts_itself_otherwise(
+def test_an_active_router_yields_to_a_higher_priority_and_advertises_otherwise(
     priority: int, sender: tuple[str, int], state: State
 ) -> None:
     active = started_machine(100)
@@ -101,7 +101,7 @@
     assert active.state is state
 
 
-def test_the_last_word_of_an_active_router() -> None:
+def test_an_active_router_advertises_priority_zero_when_it_stops() -> None:
     active = started_machine(255)
     active.outbox.clear()
     active.shutdown()
@@ -112,7 +112,7 @@
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.integers(1, 254), st.integers(1, 254), st.lists(st.booleans(), max_size=40))
-def test_a_pair_settles_on_one_active_router_once_nothing_is_lost(
+def test_a_pair_agrees_on_one_active_router_once_nothing_is_lost(
     one: int, two: int, lost: list[bool]
 ) -> None:
     pair = (make_machine(one, LOW), make_machine(two, HIGH))
@@ -138,7 +138,7 @@
         ends = []
         for index, priority in enumerate((200, 100)):
             made = StateMachine(Parameters(7, priority, "127.0.0.9", interval=5), at[index])
-            ends.append(vrrp.Endpoint(made, at[1 - index], now_us))
+            ends.append(vrrp.VrrpEndpoint(made, at[1 - index], now_us))
             loop = asyncio.get_running_loop()
             await loop.create_datagram_endpoint(lambda end=ends[-1]: end, local_addr=at[index])  # type: ignore[misc]
         await wait_until(lambda: ends[0].machine.state is State.ACTIVE)
@@ -146,7 +146,7 @@
         await asyncio.sleep(0.3)
         assert ends[1].machine.state is State.BACKUP
         ends[0].stop()
-        await wait_until(lambda: ends[1].machine.state is State.ACTIVE, 0.2)  # the skew alone
+        await wait_until(lambda: ends[1].machine.state is State.ACTIVE, 0.2)  # after the skew time alone
         ends[1].stop()
 
     uvloop.run(test())
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter as a subprocess, and the paths in the deploy file."""
+"""The simulator host as a subprocess, and the paths in the deploy file."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
     )
 
 
-def test_call_is_relayed_and_the_end_of_input_is_clean() -> None:
+def test_a_call_is_relayed_and_the_end_of_input_exits_cleanly() -> None:
     done = run_host(batch(), batch(*opening_events(), {"demand": DEMAND}))
     first, second = done.stdout.splitlines()
     assert json.loads(first) == {"decisions": []}
@@ -82,7 +82,7 @@
     assert done.returncode == 0 and done.stderr == ""
 
 
-def test_instances_share_nothing() -> None:
+def test_instances_are_independent() -> None:
     info = {**INFO, "family_info": {**INFO["family_info"], "self_no": 1}}  # type: ignore[dict-item]
     other = {"open_instance": {"who": 4, "entropy": 5, "info": info}}
     sync = {"sync": {"who": 4, "how": "SAVED", "seq_no": 1, "ref": 0}}
@@ -92,7 +92,7 @@
     assert sent == ["b:1", "a:1"]
 
 
-def test_malformed_input_ends_with_one_plain_line() -> None:
+def test_malformed_input_ends_with_one_error_line() -> None:
     bad = {
         "not json": "not JSON",
         "[]": "not a batch",
@@ -109,19 +109,19 @@
         assert done.stderr.count("\n") == 1 and done.stderr.startswith("line 2: ") and words in done.stderr
 
 
-def test_unknown_events_and_events_without_an_instance_are_passed_over() -> None:
+def test_unknown_events_and_events_without_an_instance_are_ignored() -> None:
     done = run_host(batch({"novelty": {"who": 9}}, {"hangup": {"who": 9, "op_id": "rq_9"}}))
     assert done.stdout == '{"decisions":[]}\n' and done.returncode == 0
 
 
-def test_unfit_settings_refuse_with_a_logged_line() -> None:
+def test_unusable_settings_refuse_calls_and_log_a_line() -> None:
     start = {"open_instance": {"who": 3, "entropy": 5, "info": {}}}
     done = run_host(batch(start, {"demand": DEMAND}))
     names = [next(iter(action)) for action in json.loads(done.stdout)["decisions"]]
     assert names == ["emit", "reject"] and done.returncode == 0
 
 
-def test_exception_in_an_agent_gives_in_for_that_instance_only() -> None:
+def test_an_exception_in_an_agent_affects_only_its_instance() -> None:
     code = (
         "import sys\nfrom rowanmast import call_agent, wirehost\n"
         "plain = call_agent.CallAgent.on_call\n"
--- a/tools/api_reference.py
+++ b/tools/api_reference.py
@@ -1,4 +1,4 @@
-"""Writes docs/api.md from the library's public names, their signatures and docstrings: `make api`."""
+"""Generates docs/api.md from the library's public names, signatures and docstrings (`make api`)."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 """
 
 
-def signature(thing: Any) -> str:
+def signature(target: Any) -> str:
+    """The signature as text, without `self` and quoted annotations; empty if there is none."""
     try:
-        text = str(inspect.signature(thing))
+        text = str(inspect.signature(target))
     except (ValueError, TypeError):
         return ""
     text = re.sub(r"(: |-> )'([^']*)'", r"\1\2", text)
@@ -30,34 +31,38 @@
     )
 
 
-def prose(thing: Any) -> str:
-    return inspect.cleandoc(inspect.getdoc(thing) or "").strip()
+def docstring(target: Any) -> str:
+    """The docstring without its indentation."""
+    return inspect.cleandoc(inspect.getdoc(target) or "").strip()
 
 
 def is_plain(name: str, member: Any) -> bool:
+    """Whether a member is a public method or property."""
     return not name.startswith("_") and (inspect.isfunction(member) or isinstance(member, property))
 
 
-def describe(name: str, thing: Any) -> list[str]:
-    if not inspect.isclass(thing):
-        if callable(thing) and not isinstance(thing, type):
-            return [f"### `{name}{signature(thing)}`", "", prose(thing), ""]
-        return [f"### `{name}`", "", f"`{thing}`".replace("rowanmast.embed.outcomes.", ""), ""]
-    bases = [base.__name__ for base in thing.__bases__ if base not in (object, enum.Enum)]
+def describe(name: str, target: Any) -> list[str]:
+    """The Markdown lines of one public name."""
+    if not inspect.isclass(target):
+        if callable(target) and not isinstance(target, type):
+            return [f"### `{name}{signature(target)}`", "", docstring(target), ""]
+        return [f"### `{name}`", "", f"`{target}`".replace("rowanmast.embed.outcomes.", ""), ""]
+    bases = [base.__name__ for base in target.__bases__ if base not in (object, enum.Enum)]
     kind = f" ({', '.join(bases)})" if bases else ""
-    if issubclass(thing, enum.Enum):
-        values = ", ".join(f"`{member.name}`" for member in thing)
-        return [f"### `{name}`{kind}", "", prose(thing), "", f"Values: {values}.", ""]
-    lines = [f"### `{name}{signature(thing)}`{kind}", "", prose(thing), ""]
-    for member_name, member in vars(thing).items():
+    if issubclass(target, enum.Enum):
+        values = ", ".join(f"`{member.name}`" for member in target)
+        return [f"### `{name}`{kind}", "", docstring(target), "", f"Values: {values}.", ""]
+    lines = [f"### `{name}{signature(target)}`{kind}", "", docstring(target), ""]
+    for member_name, member in vars(target).items():
         if is_plain(member_name, member) and inspect.getdoc(member):
             call = "" if isinstance(member, property) else signature(member)
             wait = "await " if inspect.iscoroutinefunction(member) else ""
-            lines.append(f"- `{wait}{member_name}{call}`: {' '.join(prose(member).split())}")
+            lines.append(f"- `{wait}{member_name}{call}`: {' '.join(docstring(member).split())}")
     return [*lines, ""] if lines[-1] else lines
 
 
 def page() -> str:
+    """The whole page as Markdown."""
     lines = [PAGE_HEADER]
     for module in (embed, middleware):
         lines += [f"## `{module.__name__}`", ""]
