--- a/rowanmast/addresses/history.py
+++ b/rowanmast/addresses/history.py
@@ -32,9 +32,9 @@
 class AddressState(Enum):
     """Whether an address may be tried now."""
 
-    AVAILABLE = "open"  # no failure since the last successful connect
-    BACKING_OFF = "shut"  # it failed, and its backoff is not over
-    HALF_OPEN = "half open"  # the backoff is over: a single connection may probe it
+    AVAILABLE = "open"  # no failure since the last successful connect; not a circuit breaker's open
+    BACKING_OFF = "shut"  # it failed, and its backoff or its probe is not over
+    HALF_OPEN = "half open"  # the backoff is over and no probe is pending: a single connection may probe it
 
 
 @dataclass(slots=True)
--- a/rowanmast/call_agent.py
+++ b/rowanmast/call_agent.py
@@ -100,7 +100,7 @@
     """
 
     def __init__(self, now: int) -> None:
-        self.level = math.inf  # arrival rate above which the next T is throttled
+        self.level = math.inf  # arrival rate above which the next T is throttled; inf: no level is set
         self.rate = 0.0  # arrival rate, smoothed
         self.interval_start, self.interval_ns, self.arrivals = now, MIN_INTERVAL_NS, 0  # of the current T
         self.throttled = False
@@ -145,8 +145,8 @@
         rate = self.level * THROTTLE_RATIO if self.throttled else 0.0
         self.credit = min(2.0, self.credit + (now - self.credit_time) * rate / SECOND)
         self.credit_time = now
-        # A call of high priority may use up to half an interval of credit in advance; one of a priority below
-        # the mean has to wait for more credit.
+        # A call of high priority may use credit in advance: that of half an interval, times 1 - 1/priority
+        # (a third of an interval at MAX_PRIORITY). One of a priority below the mean waits for more credit.
         ahead = (
             rate * self.interval_ns / SECOND / 2 * (1.0 - 1.0 / priority)
             if priority > 1.0
@@ -172,7 +172,9 @@
     delay_sum: int = 0  # over the set-ups answered in this evaluation interval
     answer_count: int = 0  # set-ups answered in this evaluation interval
     min_delay: int = 0  # of the quickest answer: path and processing, without queueing; 0: none yet
-    consecutive_failures: int = 0  # set-ups that it did not accept since the last answer
+    # Set-ups that timed out, did not reach it or found it full, since the last answer, BUSY outcome or
+    # crankback. Those sent before the last failure was known count as one.
+    consecutive_failures: int = 0
     last_failure: int = 0  # when the latest of these was reported
     paused_until: int = 0  # no set-ups until then, after failures
     last_timeout: int = -LOSS_WINDOW_NS  # when a set-up last timed out, if none was answered since
@@ -193,9 +195,10 @@
         return count
 
     def late_count_after(self, sent_until: int, sent_after: int, limit: float) -> int:
-        """The same for those sent later than `sent_after`; it never decreases between calls of this method.
+        """How many aged attempts, still unanswered, were sent after `sent_after` and up to `sent_until`.
 
-        So attempts sent up to it can be dropped for good, as can those that have been answered.
+        It stops counting at `limit`. `sent_after` must not decrease from call to call: attempts sent up to it
+        are dropped for good, as are those that are no longer unanswered.
         """
         while self.aged_attempts and (
             self.aged_attempts[0][0] <= sent_after
@@ -238,7 +241,7 @@
     may_have_run_on: str | None = None  # exchange of the first attempt that may have taken effect
     may_have_run_sent_ns: int = 0  # when that attempt was sent
     not_before_ns: int = 0  # no new attempt before the last one is released
-    tried_exchanges: list[str] = field(default_factory=list)  # exchanges that are not tried again
+    tried_exchanges: list[str] = field(default_factory=list)  # exchanges excluded from the next attempt
 
 
 class CallAgent:
@@ -266,11 +269,13 @@
         self.late_exchanges: dict[str, FarExchange] = {}  # with late unanswered set-ups
         self.actions: list[Action] = []
         self.now = 0
-        self.send_rate = 0.0  # set-ups per second to one warm exchange, smoothed
+        # Set-ups per second to one other exchange, averaged over the active ones, cold ones too; smoothed.
+        self.send_rate = 0.0
         self.sent_count, self.sent_since = 0, 0  # set-ups counted for the send rate; since when
         # The last two times at which answers were found to be lost.
         self.last_losses = (-LOSS_WINDOW_NS, -LOSS_WINDOW_NS)
-        # Mean and mean deviation of the delays of answers, smoothed.
+        # Mean and mean deviation of the delays of answers, smoothed; before the first answer, the margin that
+        # the settings reserve before deadlines.
         self.mean_delay_ns = self.delay_deviation_ns = float(settings.period_ns)
         self.cold_exchanges: list[FarExchange] = []
         # Number of set-ups that may be sent to cold exchanges, and when it was last updated.
@@ -381,18 +386,18 @@
         return started is not None and self.now - started < self.settings.cold_ns
 
     def has_budget(self, exchange: FarExchange) -> bool:
-        """Rule 4: whether this agent's share of what cold exchanges accept allows a set-up to this one.
+        """Whether this agent's share of what cold exchanges accept allows a set-up to this one.
 
-        The share is estimated from the rate of set-ups to warm exchanges. With many agents the share of one
-        cold exchange is less than one set-up, so all exchanges that are cold at the time draw on one credit.
-        The credit starts at a fraction given by the agent's index, so that the agents take turns.
+        The share is estimated from the mean rate of set-ups to one active exchange. With many agents the
+        share of one cold exchange is less than one set-up, so all exchanges that are cold at the time draw on
+        one credit. The credit starts at a fraction given by the agent's index, so that the agents take turns.
         """
         if not self.is_cold(exchange):
             return True
         self.cold_exchanges = [other for other in self.cold_exchanges if self.is_cold(other)]
         window = self.settings.collapse_after_ns
         rate_per_exchange = (
-            2
+            2  # a warm exchange can take at least twice what this agent sends it
             * self.send_rate
             * self.settings.initial_capacity_fraction
             * self.settings.collapse_multiple
@@ -405,6 +410,7 @@
         )
         self.cold_budget_updated = self.now
         exchange.cold_send_times = [sent for sent in exchange.cold_send_times if self.now - sent < window]
+        # Besides, one exchange gets at most twice its own rate: the credit is common to all cold exchanges.
         return self.cold_budget >= 1.0 and len(exchange.cold_send_times) < max(
             2 * rate_per_exchange * window, 1.0
         )
@@ -451,9 +457,10 @@
         return busy and pending.priority < LOW_PRIORITY
 
     def compute_priority(self, pending: PendingCall) -> float:
-        """The worth that the call may still earn, relative to the mean worth.
+        """The worth that the call may still earn, relative to the mean worth; to be called once per call.
 
-        A redial past the objective has the late worth of its class.
+        A redial past the objective has the late worth of its class. Besides, this sets the end of the call's
+        objective, records when its number was first dialled, deletes old such records and moves the mean.
         """
         call = pending.call
         call_class = self.settings.classes[call.klass]
@@ -502,7 +509,10 @@
         return self.now - self.delay_limit(exchange)
 
     def route(self, pending: PendingCall) -> None:
-        """Sends a set-up for the call, schedules a retry, or refuses the call."""
+        """Sends a set-up for the call, schedules a retry, or refuses the call.
+
+        Does nothing while the release of the last attempt is awaited; a timer is set for its end.
+        """
         if self.now < pending.not_before_ns:
             return
         spent = (
@@ -547,7 +557,11 @@
         exchange.apply_report(report, self.now, self.send_rate * (self.settings.agents - 1))
 
     def passes_throttle(self, exchange: FarExchange, pending: PendingCall) -> bool:
-        """Whether a recent load report lets the set-up pass; low priorities are held back first."""
+        """Whether a recent load report lets the set-up pass.
+
+        A call of a priority below the mean never passes while the report holds set-ups back, as the credit is
+        at most 1.
+        """
         if (
             self.now - exchange.throttled_at > REPORT_TTL_NS
             or exchange.throttle_fraction < MIN_THROTTLE_FRACTION
@@ -589,7 +603,10 @@
         return exchange if self.is_usable(exchange, pending, reserved) else None
 
     def tandem_route(self, pending: PendingCall) -> FarExchange | None:
-        """The tandem last used for the destination; if that is blocked, the advised one, else one drawn."""
+        """The tandem last used for the destination; if that is blocked, the advised one, else one drawn.
+
+        Where exchanges are pools, it is another pool instead of a tandem.
+        """
         dest = pending.call.dest
         if (
             pending.call.transit
@@ -612,7 +629,7 @@
         return chosen
 
     def bars_tandems(self, dest: int) -> bool:
-        """Whether calls to the destination may not use a tandem.
+        """Whether calls to the destination may not use a tandem, or another pool where exchanges are pools.
 
         A call by a tandem is a third more work for all processors, so there is none while the gate throttles
         or set-ups are late. Nor does a tandem help where the destination itself is failing, late or cold.
@@ -629,7 +646,10 @@
         return self.gate.throttled or self.total_late(1) > 0
 
     def is_usable_tandem(self, exchange: FarExchange, pending: PendingCall) -> bool:
-        """Whether the tandem is not paused, has no late set-ups and has circuits beyond the reserved ones."""
+        """Whether the tandem, or other pool, may be used.
+
+        It must not be paused or have late set-ups, and must have circuits beyond the reserved ones.
+        """
         if (
             exchange.entry.number == pending.call.dest
             or self.active_exchanges.get(exchange.entry.number) is not exchange
@@ -653,7 +673,10 @@
         )
 
     def may_repeat(self, pending: PendingCall, exchange: FarExchange) -> bool:
-        """Rule 2: a call whose class forbids repeats is sent again only where duplicates are dropped."""
+        """Whether the call may be sent there, although an earlier attempt may have taken effect.
+
+        A safe call may, an unsafe one may not, a keyed one only where duplicates are still dropped.
+        """
         call_class = self.settings.classes[pending.call.klass]
         if pending.may_have_run_on is None or call_class.idempotency is Idempotency.SAFE:
             return True
@@ -714,7 +737,10 @@
         return self.now - self.last_losses[0] < LOSS_WINDOW_NS
 
     def tolerated_unanswered(self) -> int:
-        """Unanswered set-ups to disregard at an exchange: one while answers are being lost, else none."""
+        """Allowance for lost answers: 1 while answers are being lost, else 0.
+
+        So many failures and late set-ups of one exchange are disregarded; the limit over all doubles.
+        """
         return 1 if self.answers_lost() else 0
 
     def detect_losses(self, exchange: FarExchange, sent: int) -> None:
@@ -726,6 +752,7 @@
         that a lost set-up would count as late, set-ups sent after it have shown the loss.
         """
         margin = min(exchange.min_delay or self.delay_target_ns, self.delay_target_ns)
+        # A set-up that timed out within the loss window before this answer had its answer lost, too.
         lost = exchange.last_timeout > self.now - LOSS_WINDOW_NS
         exchange.last_timeout = -LOSS_WINDOW_NS
         for (call, attempt), _ in list(
@@ -739,7 +766,7 @@
             self.last_losses = (self.last_losses[1], self.now)
 
     def count_send(self) -> None:
-        """Counts a set-up for the smoothed rate of set-ups to one warm exchange."""
+        """Counts a set-up, to a warm or a cold exchange, for the mean rate to one active exchange."""
         self.sent_count += 1
         elapsed = self.now - self.sent_since
         if elapsed >= MAX_INTERVAL_NS:
@@ -808,6 +835,7 @@
         if event.final:
             del self.pending_calls[event.call]
             return
+        # Any other outcome counts as possibly run, BUSY too, also where all lines of the number are busy.
         if (
             event.outcome not in (Outcome.FULL, Outcome.UNREACHED, Outcome.NOT_SENT)
             and pending.may_have_run_on is None
@@ -827,7 +855,8 @@
             if self.last_tandems.get(pending.call.dest) == event.exchange:
                 del self.last_tandems[pending.call.dest]
             if event.outcome is Outcome.BUSY and exchange is self.active_exchanges.get(pending.call.dest):
-                pending.tried_exchanges = []  # no other route avoids the destination
+                # The fault was at the destination, where every route ends: the retry excludes no exchange.
+                pending.tried_exchanges = []
             self.route(pending)
         elif event.cause is not Cause.PROCESSOR_FULL or not self.schedule_retry(pending):
             self.refuse(pending)
@@ -874,7 +903,10 @@
         self.busy_numbers[pending.call.key] = (pause, self.now + int(pause * self.random.uniform(0.75, 1.25)))
 
     def on_crankback(self, event: AttemptEnded) -> None:
-        """Pauses a tandem that had no onward circuit: each such attempt costs work on two processors."""
+        """Pauses a tandem that had no onward circuit: each such attempt costs work on two processors.
+
+        Does nothing for other causes, as after a BUSY outcome.
+        """
         pending = self.pending_calls.get(event.call)
         if pending is not None and event.cause is Cause.CRANKBACK:
             key = (event.exchange, pending.call.dest)
@@ -886,16 +918,19 @@
 
     @staticmethod
     def may_reroute(event: AttemptEnded) -> bool:
-        """Whether another set-up may succeed: not if the destination's or the own processor is full.
+        """Whether another set-up may succeed: not after busy lines or a full processor, whichever exchange's.
 
-        An error without a cause is a signalling fault, which says nothing of the next set-up.
+        A BUSY outcome without a cause is a signalling fault, which says nothing of the next set-up.
         """
         if event.outcome is Outcome.UNREACHED or (event.outcome is Outcome.BUSY and event.cause is None):
             return True
         return event.cause in (Cause.NO_CIRCUIT, Cause.CRANKBACK)
 
     def await_release(self, pending: PendingCall) -> None:
-        """Rule 5: the attempt may still occupy circuits, so the call waits, or ends if no time is left."""
+        """Waits for the release, as the attempt may still occupy circuits (`release_first` in the trials).
+
+        The call ends instead if it is in transit or no time is left.
+        """
         pending.not_before_ns = self.now + self.settings.release_guard_ns
         if pending.not_before_ns + self.settings.period_ns >= pending.deadline_ns or pending.call.transit:
             self.refuse(pending)
--- a/rowanmast/core/ledger.py
+++ b/rowanmast/core/ledger.py
@@ -2,8 +2,9 @@
 
 Every call gets exactly one final answer, and at most one attempt of a call is in flight at a time. In each
 turn of the event loop the ledger processes the inputs gathered since the last one, passes the resulting
-events to the decision module (`CallAgent`) as one batch and executes the actions it returns. The rules are
-enforced here, independently of what the module decides and of the protocol a call uses.
+events one by one to the decision module (`CallAgent`) and executes the actions that it returned for them.
+Events that arise meanwhile are passed on in a further round. The rules are enforced here, independently
+of what the module decides and of the protocol a call uses.
 """
 
 from __future__ import annotations
@@ -42,7 +43,8 @@
 
 NS_PER_US = 1000  # the ledger counts microseconds, the decision module nanoseconds
 NULL_LINK = NullLink()
-STALE_TIMER_SLACK = 64  # timers that may be added to twice the number left by a purge before the next purge
+# The next purge of stale timers comes when the heap exceeds twice its size after the last one, plus this.
+STALE_TIMER_SLACK = 64
 ENDED_CALL_RETENTION_US = 10_000_000  # a switch's release may cross the router's, or arrive twice, until then
 # If the output of a turn is flushed later than this, the waits that start with it are extended by the delay.
 # Shorter delays are covered by the release margin of the decision module (50 ms).
@@ -133,7 +135,7 @@
             self.purge_stale_timers()
 
     def run_decisions(self) -> None:
-        """Passes the pending events to the decision module in batches and executes its actions."""
+        """Passes the pending events to the decision module; executes the actions after each round."""
         while self.events:
             batch, self.events = self.events, []
             actions: list[api.Action] = []
@@ -143,8 +145,9 @@
                 self.run_isolated(self.execute, action)
 
     def output_flushed(self, now: int) -> None:
-        """The output of the last turn has been sent by now; waits for a release count from this time.
+        """The output of the last turn has been sent by now; if that is late, waits for a release start now.
 
+        All timers that the module set in this turn are shifted as well, as they are not told apart.
         A host application that holds the interpreter may delay a turn by hundreds of milliseconds.
         """
         lag = now - self.now
@@ -262,7 +265,11 @@
         heapq.heappush(self.timers, (due, self.timer_serial, timer))
 
     def run_isolated(self, step: Callable[[Item], Result], item: Item) -> Result | None:
-        """Runs one step; if it raises, only the call concerned fails and the turn continues."""
+        """Runs one step; if it raises, the exception is logged and the turn continues.
+
+        The call that the item names in its field `call` fails, unless it has its answer. A CallRecord has no
+        such field, so no call fails for it and the log line names none.
+        """
         try:
             return step(item)
         except Exception:
@@ -315,7 +322,8 @@
         record = self.records.get(call)
         if record is None:
             return
-        if record.standing_attempt is not None:  # the CANCEL crossed the answer: the caller gets a release
+        # The caller cancelled as the answer came, and gets a release, or was lost while the call stands.
+        if record.standing_attempt is not None:
             self.link(record.standing_attempt.exchange).release(call, NORMAL_CLEARING)
             ending = EndReason.CALLER_CANCELLED
             self.end_call(record, api.Outcome.CALLED_OFF, NO_REPORT, NORMAL_CLEARING, ending)
@@ -376,6 +384,10 @@
         self.orphan_front.release(item.call, NORMAL_CLEARING if completed else TEMPORARY_FAILURE)
 
     def on_list(self, item: api.ExchangeList) -> None:
+        """Takes over a list or its changes. The change log reader posts no list of kind FAILED.
+
+        Such a list would empty `listed` and cut all attempts.
+        """
         self.events.append(item)
         before = self.listed
         self.listed = dict(before) if item.kind is api.ListKind.CHANGES else {}
@@ -585,7 +597,10 @@
         return None
 
     def within_cold_share(self, exchange: str) -> bool:
-        """Whether the routers of this process may send the switch another set-up; if so, it is counted."""
+        """Takes one set-up to the switch from the share of this process; False if the share is used up.
+
+        The share's rate is per other exchange: the listed ones without one, the router's own.
+        """
         if self.cold_share is None:
             return True
         return self.cold_share.try_acquire(self.now, self.listed[exchange], len(self.listed) - 1)
--- a/rowanmast/iax2/front.py
+++ b/rowanmast/iax2/front.py
@@ -119,6 +119,7 @@
     def leg_lost(self) -> None:
         if self.front.legs.pop(self.call, None) is not None:
             log.info("iax_caller_lost", extra={"call": self.call})
+            # This also ends a standing call. Released would carry a cause, which is unknown here.
             self.front.inbox.post(Cancelled(self.call))
 
     def may_retransmit(self) -> bool:
--- a/rowanmast/interface.py
+++ b/rowanmast/interface.py
@@ -42,7 +42,7 @@
     """How an attempt ended."""
 
     DONE = "done"  # the call was answered and ended normally
-    BUSY = "busy"  # all lines of the number are busy, or a signalling fault
+    BUSY = "busy"  # all lines of the number are busy (cause LINES_BUSY), or a signalling fault (no cause)
     FULL = "full"  # not set up: crankback, or a processor or a pool was full
     TIMED_OUT = "timed out"  # no answer within the timeout of the set-up
     UNREACHED = "unreached"  # no connection to the exchange
@@ -87,7 +87,7 @@
     agent_index: int  # of this agent, from 0
     own_exchange: int  # number of the exchange that the agent belongs to; -1 where exchanges are pools
     meshed: bool  # every exchange has a circuit group to every other; otherwise exchanges are pools
-    period_ns: int  # time reserved before deadlines
+    period_ns: int  # (the platform's name) margin before deadlines, and first value of the mean answer delay
     classes: tuple[CallClass, ...]
     overall_weight: float  # weight in the goal of all calls
     worst_window_weight: float  # weight in the goal of the worst time window
--- a/rowanmast/net/sip.py
+++ b/rowanmast/net/sip.py
@@ -97,13 +97,14 @@
     except UnicodeDecodeError:
         raise SipError("headers are not UTF-8") from None
     headers: list[tuple[str, str]] = []
-    fields: dict[str, str] = {}
+    first_values: dict[str, str] = {}
     for line in lines:
         if line[:1] in FOLD_CHARACTERS and headers:  # a folded header
             name, value = headers[-1]
             headers[-1] = (name, f"{value} {line.strip()}")
-            if fields[name] == value:
-                fields[name] = headers[-1][1]
+            # By value, not position: a repeated header with the same value as the first replaces it too.
+            if first_values[name] == value:
+                first_values[name] = headers[-1][1]
             continue
         name, colon, value = line.partition(":")
         name = name.strip().lower()
@@ -112,19 +113,19 @@
         name = COMPACT_FORMS.get(name, name)
         value = value.strip()
         headers.append((name, value))
-        if fields.setdefault(name, value) != value and name == "content-length":
+        if first_values.setdefault(name, value) != value and name == "content-length":
             raise SipError("conflicting Content-Length headers")
-    length = fields.get("content-length", "")
+    length = first_values.get("content-length", "")
     if not length:
         raise SipError("no Content-Length header")
     if not (length.isascii() and length.isdigit() and len(length) < 10):
         raise SipError("Content-Length is not a number")
     parts = first.split(" ", 2)
     if len(parts) == 3 and parts[0] == "SIP/2.0" and parts[1].isascii() and parts[1].isdigit():
-        return Message("", "", int(parts[1]), headers, fields), int(length)
+        return Message("", "", int(parts[1]), headers, first_values), int(length)
     if len(parts) != 3 or parts[2] != "SIP/2.0" or not parts[0].isalpha():
         raise SipError("malformed request or status line")
-    return Message(parts[0], parts[1], 0, headers, fields), int(length)
+    return Message(parts[0], parts[1], 0, headers, first_values), int(length)
 
 
 def encode(first: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
--- a/rowanmast/trials/trial.py
+++ b/rowanmast/trials/trial.py
@@ -24,7 +24,9 @@
 
 FIRST_ROUTER_EXCHANGE = 100  # exchange numbers of the routers themselves, to which no calls go
 LAG_INTERVAL_S = 0.01
-CHANGE_NOTIFICATION_S = 6.0  # from when discovery has a change and is reachable until routers must know it
+# Time that routers get to learn of a change while discovery is slow, or after it was unreachable; otherwise
+# they count as notified at once.
+CHANGE_NOTIFICATION_S = 6.0
 MAX_DEADLINE_BEFORE_KILL_S = 3.0  # longer call deadlines do not delay SIGKILL further
 KILL_MARGIN_S = 0.7  # from the longest deadline to the earliest SIGKILL
 MAX_SETTLE_S = 10.0  # for answers and releases that are pending at the end
@@ -43,7 +45,8 @@
     seed: int
     violations: list[Violation]
     counts: CallerCounts
-    errors: list[str] = field(default_factory=list)  # router log lines at level error, bad exit codes
+    # Router log lines at level error, bad exit codes and exceptions of the trial's tasks.
+    errors: list[str] = field(default_factory=list)
     max_lag_s: float = 0.0  # largest lag of the trial's own event loop
     logs: dict[str, list[str]] = field(default_factory=dict)  # by router
     histories: dict[str, list[tuple[float, str]]] = field(default_factory=dict)  # of calls with violations
@@ -85,7 +88,8 @@
         self.discovery_proxy = FaultProxy()
         self.discovery_is_down = False
         self.discovery_is_slow = False
-        self.unannounced_drains: list[str] = []  # switches, while discovery is down
+        # Switches that drained or were removed while discovery was unreachable, until it is reachable again.
+        self.unannounced_drains: list[str] = []
         self.switches = [
             TrialSwitch(
                 f"s-{number}", number, self.checker, self.clock, hold_s=schedule.hold_s, seed=schedule.seed
@@ -134,7 +138,7 @@
     # Start and end
 
     async def start(self) -> None:
-        """Starts discovery, switches, callers and routers, and then the trial's clock."""
+        """Starts discovery, switches and routers, creates the callers, and resets the trial's clock."""
         await self.discovery.start()
         self.discovery_proxy.target = self.discovery.address
         self.discovery_proxy.start()
@@ -196,7 +200,7 @@
             task.cancel()
 
     async def wait_for_pending(self) -> None:
-        """Waits for pending answers and releases while the remaining faults last."""
+        """Waits up to MAX_SETTLE_S for pending answers and releases; remaining faults go on meanwhile."""
         end = self.clock() + MAX_SETTLE_S
         while self.checker.pending_count(self.clock()) and self.clock() < end:
             await asyncio.sleep(0.05)
--- a/rowanmast/wirehost.py
+++ b/rowanmast/wirehost.py
@@ -186,8 +186,8 @@
 def read_ended(fields: Fields) -> api.AttemptEnded:
     """Decodes an ended attempt.
 
-    The low four bits of the cause give the cause itself; cause 3 may have a retry-after time in milliseconds
-    in the bits above.
+    A cause whose low four bits are 3 has a retry-after time in milliseconds in the bits above; any other
+    cause is looked up as a whole.
     """
     cause = int(fields.get("cause") or 0)
     if fields["rc"] not in OUTCOMES:
--- a/tests/test_call_agent.py
+++ b/tests/test_call_agent.py
@@ -418,6 +418,7 @@
 def lose_answer(harness: AgentHarness, dest: int) -> None:
     """A set-up stays unanswered while a later one to the same exchange is answered."""
     harness.handle_after(0, call(f"lost {dest}", dest=dest))
+    # An answer in time from another exchange, of no pending call: the delay is not that of this agent.
     harness.handle_after(150 * MS, CallAnswered("x", 0, "x4", 50 * MS))
     harness.handle_after(60 * MS, call(f"later {dest}", dest=dest, klass=1))
     harness.handle_after(50 * MS, CallAnswered(f"later {dest}", 0, f"x{dest}", 50 * MS))
@@ -483,7 +484,8 @@
                 harness.handle_after(0, CallAnswered(name, 0, "x1", MS))
     allowed = 2 * 8.0 * SETTINGS.initial_capacity_fraction * SETTINGS.collapse_multiple
     busiest = max(sum(start <= step < start + 10 for step in sent) for start in range(50))
-    assert busiest <= allowed  # in any second, of ten times as many calls
+    assert busiest <= allowed  # in any second, in which each agent is offered ten calls
+    # At least a third of the limit is used over the 6 s of the test.
     assert len(sent) >= allowed * 6 / 3
 
 
@@ -555,7 +557,7 @@
     harness.handle_after(55 * MS, call("later"))
     harness.handle_after(50 * MS, CallAnswered("later", 0, "x1", 50 * MS))
     assert not harness.agent.exchanges["x1"].unanswered
-    harness.handle_after(SECOND, CallerHungUp("none"))
+    harness.handle_after(SECOND, CallerHungUp("none"))  # of no call: moves the clock on
     assert set_up_targets(harness.handle_after(MS, call("next"))) == ["x1"]
 
 
@@ -567,10 +569,10 @@
             harness.handle_after(MS, call(name))
         for number in range(4):
             harness.complete_setup(f"quick {number}")
-        harness.handle_after(700 * MS, CallerHungUp("none"))
+        harness.handle_after(700 * MS, CallerHungUp("none"))  # of no call: only moves the clock
         for name in names:
             harness.handle_after(0, CallAnswered(name, 0, "x1", 900 * MS))
-        harness.handle_after(SECOND, CallerHungUp("none"))
+        harness.handle_after(SECOND, CallerHungUp("none"))  # starts an evaluation
         assert harness.agent.gate is not None
         assert (harness.agent.gate.level < 100) == throttled
 
