--- a/rowanmast/addresses/connector.py
+++ b/rowanmast/addresses/connector.py
@@ -48,13 +48,13 @@
         If all are backing off, the one whose backoff ends first is tried, so that a switch that comes back is
         found as soon as with a single address, however long the backoffs are.
         """
-        usable = [
+        candidates = [
             one for one in self.endpoints if self.history.state(now, one) is not AddressState.BACKING_OFF
         ]
-        if not usable:
-            usable = [min(self.endpoints, key=lambda one: self.history.record_of(one).retry_at)]
-        available = [one for one in usable if self.history.state(now, one) is AddressState.AVAILABLE]
-        return order_endpoints(usable, self.preference, lambda one: one in available, self.history.cost)
+        if not candidates:
+            candidates = [min(self.endpoints, key=lambda one: self.history.record_of(one).retry_at)]
+        available = [one for one in candidates if self.history.state(now, one) is AddressState.AVAILABLE]
+        return order_endpoints(candidates, self.preference, lambda one: one in available, self.history.cost)
 
     async def connect(self, factory: ProtocolFactory) -> Endpoint:
         """Makes one connection with a protocol of `factory` and returns its address.
@@ -162,7 +162,7 @@
     """The address in the form that the socket module expects, with the zone as an interface index."""
     if endpoint.family is Family.IP4:
         return endpoint.host, endpoint.port
-    zone = endpoint.scope
+    zone = endpoint.zone
     scope_id = 0 if not zone else int(zone) if zone.isdigit() else socket.if_nametoindex(zone)
     return endpoint.host, endpoint.port, 0, scope_id
 
--- a/rowanmast/addresses/order.py
+++ b/rowanmast/addresses/order.py
@@ -34,14 +34,14 @@
     family: Family
     host: str
     port: int = 0
-    scope: str = ""  # the zone of a link-local IPv6 address (RFC 4007, section 11)
+    zone: str = ""  # the zone of a link-local IPv6 address (RFC 4007, section 11)
 
     def __str__(self) -> str:
         if self.family is Family.UNIX:
             return UNIX_PREFIX + self.host
         if self.family is Family.IP6:
-            zone = f"%{self.scope}" if self.scope else ""
-            return f"[{self.host}{zone}]:{self.port}"
+            zone_suffix = f"%{self.zone}" if self.zone else ""
+            return f"[{self.host}{zone_suffix}]:{self.port}"
         return f"{self.host}:{self.port}"
 
 
@@ -73,13 +73,13 @@
         address = IPv6Address(host)
     except AddressValueError:
         raise EndpointError(f"{host!r}: not an IPv6 address") from None
-    scope = address.scope_id or ""
+    zone = address.scope_id or ""
     plain = IPv6Address(int(address))
-    if plain.is_link_local != bool(scope):
+    if plain.is_link_local != bool(zone):
         raise EndpointError(
             f"{host!r}: give a zone for a link-local address, as in fe80::1%eth0, and none for others"
         )
-    return Endpoint(Family.IP6, str(plain), port, scope)
+    return Endpoint(Family.IP6, str(plain), port, zone)
 
 
 @dataclass(frozen=True, slots=True)
--- a/rowanmast/net/peers.py
+++ b/rowanmast/net/peers.py
@@ -58,7 +58,7 @@
         address: tuple[str, int],
         inbox: Inbox,
         gate: SendGate,
-        connect_s: float,
+        connect_timeout_s: float,
         random: Random,
         connector: Connector | None = None,
         may_probe: bool = True,
@@ -69,7 +69,7 @@
         self.address = address
         self.inbox = inbox
         self.gate = gate
-        self.connect_s = connect_s
+        self.connect_timeout_s = connect_timeout_s
         self.random = random
         self.connector = connector
         self.connections: list[SwitchConnection] = []
@@ -326,7 +326,7 @@
                 endpoint = await self.connector.connect(lambda: self.make_connection(made))
                 made[0].endpoint = endpoint
                 return
-            async with asyncio.timeout(self.connect_s):
+            async with asyncio.timeout(self.connect_timeout_s):
                 await loop.create_connection(lambda: SwitchConnection(self), *self.address)
         except OSError as error:  # includes TimeoutError
             self.connect_task = None
--- a/rowanmast/net/sip.py
+++ b/rowanmast/net/sip.py
@@ -93,7 +93,7 @@
 def parse_head(head: bytes) -> tuple[Message, int]:
     """Parses first line and headers; returns the message without its body, and the body's length in bytes."""
     try:
-        first, *lines = head.decode().split("\r\n")
+        start_line, *lines = head.decode().split("\r\n")
     except UnicodeDecodeError:
         raise SipError("headers are not UTF-8") from None
     headers: list[tuple[str, str]] = []
@@ -120,7 +120,7 @@
         raise SipError("no Content-Length header")
     if not (length.isascii() and length.isdigit() and len(length) < 10):
         raise SipError("Content-Length is not a number")
-    parts = first.split(" ", 2)
+    parts = start_line.split(" ", 2)
     if len(parts) == 3 and parts[0] == "SIP/2.0" and parts[1].isascii() and parts[1].isdigit():
         return Message("", "", int(parts[1]), headers, first_values), int(length)
     if len(parts) != 3 or parts[2] != "SIP/2.0" or not parts[0].isalpha():
@@ -128,8 +128,8 @@
     return Message(parts[0], parts[1], 0, headers, first_values), int(length)
 
 
-def encode(first: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
-    lines = [first, *(f"{name}: {value}" for name, value in headers), f"Content-Length: {len(body)}"]
+def encode(start_line: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
+    lines = [start_line, *(f"{name}: {value}" for name, value in headers), f"Content-Length: {len(body)}"]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
--- a/rowanmast/vrrp.py
+++ b/rowanmast/vrrp.py
@@ -52,8 +52,8 @@
     """Encodes an advertisement with its checksum."""
     address = IPv4Address(advert.address).packed
     fields = (VERSION_TYPE, advert.vrid, advert.priority, 1, advert.interval)
-    unsigned = HEADER.pack(*fields, 0) + address
-    return HEADER.pack(*fields, checksum(unsigned)) + address
+    without_checksum = HEADER.pack(*fields, 0) + address
+    return HEADER.pack(*fields, checksum(without_checksum)) + address
 
 
 def decode(data: bytes) -> Advert:
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -129,17 +129,17 @@
         if step == "wait":
             now += amount
         elif running and step == "fail":
-            loser = running.pop(amount % len(running))
-            race.failed(now, loser)
+            failed = running.pop(amount % len(running))
+            race.failed(now, failed)
             failed_at = now
         elif running and step == "win":
-            first = running.pop(amount % len(running))
-            losers = race.won(first)
+            connected = running.pop(amount % len(running))
+            losers = race.won(connected)
             if won is None:
-                won = first
+                won = connected
                 assert losers == running
             else:
-                assert losers == [first], "a second success is cancelled"
+                assert losers == [connected], "a second success is cancelled"
         assert race.winner == won
         assert race.finished == (won is not None or (not running and len(started) == len(order)))
         assert (race.next_start() is None) == (won is not None or len(started) == len(order))
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -25,8 +25,8 @@
 
 def request(method: str, call: str, body: str = "", **headers: str) -> bytes:
     named = [(name.replace("_", "-"), value) for name, value in headers.items()]
-    first = f"{method} sip:7f3a@net SIP/2.0"
-    return sip.encode(first, [("Call-ID", call), ("CSeq", f"1 {method}"), *named], body.encode())
+    start_line = f"{method} sip:7f3a@net SIP/2.0"
+    return sip.encode(start_line, [("Call-ID", call), ("CSeq", f"1 {method}"), *named], body.encode())
 
 
 def invite(call: str, body: str = "text é\r\n", left: str = "1500", route: str = ROUTE) -> bytes:
--- a/tests/test_iax2_session.py
+++ b/tests/test_iax2_session.py
@@ -25,9 +25,9 @@
     st.booleans(),
 )
 def test_frames_are_decoded_as_encoded(
-    source: int, destination: int, stamp: int, elements: list[tuple[int, bytes]], again: bool
+    source: int, destination: int, stamp: int, elements: list[tuple[int, bytes]], retransmitted: bool
 ) -> None:
-    frame = Frame(source, destination, stamp, 7, 9, FrameType.IAX, Iax.NEW, tuple(elements), again)
+    frame = Frame(source, destination, stamp, 7, 9, FrameType.IAX, Iax.NEW, tuple(elements), retransmitted)
     assert frames.decode(frames.encode(frame)) == frame
 
 
