--- a/rowanmast/addresses/connector.py
+++ b/rowanmast/addresses/connector.py
@@ -45,8 +45,8 @@
     def candidates(self, now: int) -> list[Endpoint]:
         """The addresses to try now, in order. Addresses that are backing off are left out.
 
-        If all are backing off, the one whose backoff ends first is tried, so that a switch that comes back is
-        found as soon as with a single address, however long the backoffs are.
+        If all are backing off, the one whose backoff ends first is tried nevertheless: each connect of the
+        link then tries an address, so a switch that comes back is found without waiting for a long backoff.
         """
         candidates = [
             one for one in self.endpoints if self.history.state(now, one) is not AddressState.BACKING_OFF
@@ -97,7 +97,7 @@
                         raise error
         finally:
             for task, (endpoint, since) in running.items():
-                # An address that lost to one started later counts as failed.
+                # A connect that lost the race after at least the attempt delay counts as failed.
                 if race.winner is not None and self.clock() - since >= race.attempt_delay_us:
                     self.history.failed(self.clock(), endpoint, ConnectFailure.TIMED_OUT)
                 else:
--- a/rowanmast/addresses/order.py
+++ b/rowanmast/addresses/order.py
@@ -22,6 +22,8 @@
 
 
 class Family(Enum):
+    """Address families; the values are their names in the settings."""
+
     UNIX = "unix"
     IP6 = "ip6"
     IP4 = "ip4"
--- a/rowanmast/addresses/race.py
+++ b/rowanmast/addresses/race.py
@@ -38,7 +38,7 @@
         return self.winner is not None or not (self.waiting or self.running)
 
     def next_start(self) -> int | None:
-        """When the next address is to be started if no connect ends before, or None if none is left."""
+        """When the next address is to be started if no connect fails before, or None if none is left."""
         return self.next_start_at if self.waiting and self.winner is None else None
 
     def start_next(self, now: int) -> Endpoint | None:
--- a/rowanmast/iax2/endpoint.py
+++ b/rowanmast/iax2/endpoint.py
@@ -25,7 +25,10 @@
     def frame_received(self, frame: Frame) -> None: ...
 
     def leg_lost(self) -> None:
-        """The remote side is unresponsive, no longer knows the call, or has reused its call number."""
+        """The remote side is unresponsive, no longer knows the call, or has reused its call number.
+
+        Also called if a NEW had no reply and may no longer be retransmitted.
+        """
 
     def may_retransmit(self) -> bool:
         """Whether a NEW without any reply may be retransmitted."""
@@ -61,7 +64,7 @@
         self.clock = clock
         self.on_new = on_new
         self.legs: dict[int, Leg] = {}  # by local call number
-        self.legs_by_remote: dict[tuple[Address, int], Leg] = {}  # incoming ones, by remote call number
+        self.legs_by_remote: dict[tuple[Address, int], Leg] = {}  # incoming, by remote address and number
         self.pending_pokes: dict[int, Callable[[], None]] = {}  # called at the PONG, by local call number
         self.last_call_number = 0
         self.transport: asyncio.DatagramTransport | None = None
@@ -192,6 +195,7 @@
             self.transport.close()
 
     def sweep(self) -> None:
+        """Runs the timers of all sessions and removes legs that are lost or expired."""
         now = self.clock()
         for leg in list(self.legs.values()):
             no_reply = leg.session.remote_number == 0 and leg.session.ended_at is None
--- a/rowanmast/iax2/frames.py
+++ b/rowanmast/iax2/frames.py
@@ -15,6 +15,8 @@
 
 
 class FrameType(IntEnum):
+    """The frame types that are used; frames of other types are decoded without their elements."""
+
     CONTROL = 0x04
     IAX = 0x06
 
@@ -68,9 +70,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
+    """A full frame. `source` and `destination` are call numbers; `kind` is the frame type."""
+
     source: int
     destination: int
-    timestamp: int
+    timestamp: int  # milliseconds since the call began
     oseqno: int
     iseqno: int
     kind: int
--- a/rowanmast/iax2/peers.py
+++ b/rowanmast/iax2/peers.py
@@ -107,6 +107,7 @@
         self.finish_removal()
 
     def finish_removal(self) -> None:
+        """Calls `on_removal_done` if the switch has been removed and no call is left."""
         if self.on_removal_done is not None and not self.calls:
             removed, self.on_removal_done = self.on_removal_done, None
             removed()
--- a/rowanmast/iax2/session.py
+++ b/rowanmast/iax2/session.py
@@ -20,7 +20,7 @@
     """Sequence numbers, unacknowledged frames and timers of one call; the endpoint sends the `outbox`."""
 
     def __init__(self, number: int, now: int, remote_number: int = 0) -> None:
-        self.number = number
+        self.number = number  # the local call number
         self.remote_number = remote_number  # the remote side's call number; 0 until it is known
         self.started_at = now
         self.heard_at = now
@@ -38,7 +38,7 @@
 
     def send(self, now: int, kind: FrameType, subclass: int, elements: Elements = ()) -> None:
         """Sends a numbered frame, which is retransmitted until it is acknowledged."""
-        if not fits_in_frame(elements):  # checked before it is numbered, or it would be retried for ever
+        if not fits_in_frame(elements):  # a frame that can't be encoded must not be numbered or queued
             raise FrameError("the elements are too long for one frame")
         frame = self.make_frame(now, kind, subclass, elements)
         self.oseqno = (self.oseqno + 1) & 0xFF
@@ -79,7 +79,10 @@
     # Receiving
 
     def receive(self, now: int, frame: Frame) -> Frame | None:
-        """Processes a received frame; returns it if it is the next in order and is meant for the listener."""
+        """Processes a received frame; returns it if the endpoint has to handle it.
+
+        That is the next frame in order, unless the session handles it itself, or an INVAL.
+        """
         self.heard_at = now
         if self.remote_number == 0:
             self.remote_number = frame.source
--- a/rowanmast/net/callers.py
+++ b/rowanmast/net/callers.py
@@ -14,14 +14,15 @@
 from rowanmast.net.stream import Stream
 from rowanmast.routes import parse_integer, parse_route
 
-MAX_WRITE_BUFFER_BYTES = 256 * 1024  # unread bytes at which a caller's connection is closed
+MAX_WRITE_BUFFER_BYTES = 256 * 1024  # a caller's connection with more bytes waiting to be sent is aborted
 MAX_SETUP_MS = 3_600_000  # no caller waits longer, and timers need a bounded value
 MAX_SET_UPS_PER_CONNECTION = 200  # a flood from one caller is refused before it affects other callers
 BYE_LIFETIME_US = 10_000_000  # an unanswered BYE is dropped after this time
 BYE_RETRY_US = 250_000  # delay before an unanswered BYE is sent on another connection; doubles each time
 FIRST_BYTE_TIMEOUT_US = 2_500_000  # a new connection that has sent nothing by then is closed
-IDLE_TIMEOUT_US = 10_000_000  # since the last byte, without set-up or call; callers close after 4 s
-# The idle time-out during shutdown: longer than the 50 ms in which a set-up may cross the close.
+IDLE_TIMEOUT_US = 10_000_000  # since the last byte, without set-up or call; callers close idle ones after 4 s
+# Idle time-out during shutdown: longer than the 50 ms within which callers resend a set-up that crossed the
+# close of its connection.
 SHUTDOWN_IDLE_TIMEOUT_US = 250_000
 SWEEP_INTERVAL_S = 0.25
 LIMIT_LOG_INTERVAL_US = 1_000_000  # minimum time between two log lines about the connection limit
@@ -80,7 +81,7 @@
         self.respond(call, FAILURE_STATUS[why])
 
     def release(self, call: str, cause: int) -> None:
-        """Sends a BYE on the call's own connection if that is open, otherwise on another caller's.
+        """Sends a BYE on the connection of the call's set-up, or on another one if that is (half-)closed.
 
         A standing call is not bound to a connection.
         """
@@ -99,7 +100,7 @@
         """Sends it on `connection`, or on the most recently confirmed one that it was not last sent on.
 
         An unconfirmed connection may belong to a client that makes no calls, so it is used only if there is
-        no other.
+        no other confirmed one. If no other connection is open at all, the BYE is sent on the same one again.
         """
         if connection is None or connection.half_closed:  # a half-closed one can't acknowledge the BYE
             others = (*reversed(self.confirmed), *reversed(self.unconfirmed))
@@ -163,7 +164,10 @@
             self.schedule_sweep()
 
     def eviction_candidate(self) -> CallerConnection | None:
-        """The oldest unconfirmed connection without an open set-up, or else the least recently confirmed."""
+        """The connection to close at the limit; None if all have open set-ups.
+
+        Of those without one, the oldest unconfirmed connection, or else the least recently confirmed.
+        """
         candidates = (*self.unconfirmed, *self.confirmed)
         return next((connection for connection in candidates if not connection.set_ups), None)
 
@@ -232,7 +236,10 @@
                 connection.write(sip.encode_response(message, 501))
 
     def mark_confirmed(self, connection: CallerConnection) -> None:
-        """The connection has acknowledged an answer or a release, as only the caller of a call does."""
+        """Moves the connection to the end of `confirmed`.
+
+        It has acknowledged an answer or a release, as only the caller of a call does.
+        """
         self.unconfirmed.pop(connection, None)
         self.confirmed.pop(connection, None)
         self.confirmed[connection] = None
--- a/rowanmast/net/changelog.py
+++ b/rowanmast/net/changelog.py
@@ -17,7 +17,8 @@
 from rowanmast import interface as api
 
 LONG_POLL_MS = 1000  # how long the change log may hold a request; a stopped log is noticed soon after that
-RESPONSE_TIMEOUT_S = 1.0  # after the long poll, or after the last bytes; then a further connection is opened
+# For a connect, after the long poll, and after the last bytes; then a further connection is opened.
+RESPONSE_TIMEOUT_S = 1.0
 LATE_TIMEOUT_S = 10.0  # a late connection on which nothing arrives for this long is closed
 MAX_LATE_CONNECTIONS = 3  # kept open beside the current one
 RETRY_MIN_S, RETRY_MAX_S = 0.1, 0.5
@@ -103,7 +104,7 @@
     ) -> None:
         self.address = address
         self.reader = reader
-        self.seq = seq
+        self.seq = seq  # of the last change that was applied
         self.on_change = on_change
         self.random = random
         self.backoff_s = RETRY_MIN_S
--- a/rowanmast/net/jsonlines.py
+++ b/rowanmast/net/jsonlines.py
@@ -21,6 +21,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
+    """One decoded line. The fields have the names that they have in the protocol."""
+
     msg: str
     sid: str
     attrs: dict[str, Any]
--- a/rowanmast/net/peer_connection.py
+++ b/rowanmast/net/peer_connection.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from rowanmast.net.peers import JsonSwitchLink
 
-MAX_WRITE_BUFFER_BYTES = 1024 * 1024  # unread bytes at which a switch's connection is closed
+MAX_WRITE_BUFFER_BYTES = 1024 * 1024  # a switch's connection with more bytes waiting to be sent is aborted
 PARTIAL_LINE_TIMEOUT_S = 0.25  # since the last bytes; a connection whose line is still incomplete is closed
 # A machine that crashes or is cut off leaves its connections open and silent. TCP retransmissions back off
 # for minutes, even after it has returned, so a connection without any ACK for 3 s is closed.
@@ -40,12 +40,12 @@
     def __init__(self, link: JsonSwitchLink) -> None:
         super().__init__(link.exchange, MAX_WRITE_BUFFER_BYTES)
         self.link = link
-        self.number = 0
+        self.number = 0  # set by the link when the connection opens
         self.parser = jsonlines.Parser()
         self.in_flight: dict[str, Attempt] = {}
-        self.opened_at = self.heard_at = now_us()
+        self.opened_at = self.heard_at = now_us()  # heard_at: when a line was last received
         self.endpoint: Endpoint | None = None  # set if the switch has several addresses
-        self.lagging_since = 0  # since when it has lacked statuses that other connections received; 0: not
+        self.lagging_since = 0  # since when it has lacked statuses that others received; 0 if it lacks none
         self.status_received = False
         self.partial_line_timer: asyncio.TimerHandle | None = None
 
--- a/rowanmast/net/peers.py
+++ b/rowanmast/net/peers.py
@@ -33,7 +33,8 @@
 from rowanmast.net.peer_connection import SwitchConnection
 
 MAX_CONNECTIONS = 4  # per switch: losing one fails only the set-ups that are in flight on it
-# A connection that received nothing for this long when a set-up on it is cancelled is replaced.
+# When a set-up that was sent at least this long ago is cancelled, its connection is replaced if it has
+# received nothing for this long.
 SILENCE_TIMEOUT_US = 300_000
 STATUS_SPREAD_US = 50_000  # a switch sends each status on all its connections within this time
 MAX_STATUS_LAG_US = 100_000  # a connection that has lacked a status for this long is replaced
@@ -63,7 +64,10 @@
         connector: Connector | None = None,
         may_probe: bool = True,
     ) -> None:
-        """`address` comes from the change log; a `connector`, if given, chooses the address to connect to."""
+        """`address` comes from the change log; a `connector`, if given, chooses the address to connect to.
+
+        Without `may_probe`, connections are not probed for liveness.
+        """
         self.liveness = SwitchLiveness(may_probe)
         self.exchange = exchange
         self.address = address
@@ -83,7 +87,7 @@
         self.queued_releases: deque[bytes] = deque(maxlen=MAX_QUEUED_RELEASES)  # no connection was open
         self.load_probed_at: int | None = None
         self.liveness_timer: asyncio.TimerHandle | None = None
-        self.verify_started_at = 0  # when the connections that carry calls were last probed for `verify`
+        self.verify_started_at = 0  # when the connections that carry calls were last probed by `verify_alive`
         # Set once discovery has removed the switch; called when the link is closed.
         self.on_removal_done: Callable[[], None] | None = None
         self.closed = False
@@ -194,7 +198,10 @@
         self.queued_releases.clear()
 
     def close_unneeded(self) -> None:
-        """Closes connections that no call or set-up needs: retired ones and those of a removed switch."""
+        """Closes connections that no call or set-up needs: retired ones and those of a removed switch.
+
+        The whole link of a removed switch is closed once no call stands there.
+        """
         for connection in list(self.retired):
             if not self.liveness.is_sole_connection(connection.number):
                 connection.close()
@@ -291,7 +298,10 @@
             connection.close()
 
     def retire(self, connection: SwitchConnection) -> None:
-        """Stops using the connection for set-ups, but keeps it open for releases of standing calls."""
+        """Sends no more set-ups or releases on the connection, but keeps it open.
+
+        The switch may still release standing calls on it.
+        """
         self.connections.remove(connection)
         self.retired.append(connection)
         self.log_closed(connection, "retired")
@@ -368,7 +378,10 @@
         self.connect()
 
     def connection_closed(self, connection: SwitchConnection, why: str) -> None:
-        """Fails the set-ups in flight, which the switch drops with the connection; standing calls remain."""
+        """Fails the set-ups in flight, which the switch drops with the connection; standing calls remain.
+
+        They are ended if the switch is removed and this was its last connection.
+        """
         self.liveness.connection_lost(now_us(), connection.number)
         if connection in self.retired:
             self.retired.remove(connection)
@@ -425,8 +438,9 @@
     # Removal and close
 
     def remove(self, on_removal_done: Callable[[], None]) -> None:
-        """Discovery has removed the switch. Standing calls remain until released or their lease expires.
+        """Discovery has removed the switch.
 
+        Standing calls remain until they are released, their lease expires or the last connection is lost.
         `on_removal_done` is called once, when the link is closed.
         """
         self.on_removal_done = on_removal_done
@@ -450,7 +464,7 @@
         self.close()
 
     def close(self) -> None:
-        """Closes all connections and timers, without ending the standing calls towards their callers."""
+        """Closes all connections and cancels the timers, without ending standing calls towards callers."""
         self.closed = True
         self.cancel_reconnect()
         self.schedule_liveness_check()
--- a/rowanmast/net/sip.py
+++ b/rowanmast/net/sip.py
@@ -45,6 +45,7 @@
     body: bytes = b""
 
     def get(self, name: str, default: str = "") -> str:
+        """The first value of a header, whose name is given in lower case and in long form."""
         return self.first_values.get(name, default)
 
     @property
@@ -91,7 +92,7 @@
 
 
 def parse_head(head: bytes) -> tuple[Message, int]:
-    """Parses first line and headers; returns the message without its body, and the body's length in bytes."""
+    """Parses start line and headers; returns the message without its body, and the body's length in bytes."""
     try:
         start_line, *lines = head.decode().split("\r\n")
     except UnicodeDecodeError:
--- a/rowanmast/net/stream.py
+++ b/rowanmast/net/stream.py
@@ -13,7 +13,7 @@
 
 
 class Stream(asyncio.Protocol):
-    """A connection that is aborted when its peer leaves `max_write_buffer` bytes unread."""
+    """A connection that is aborted when more than `max_write_buffer` bytes wait to be sent on it."""
 
     def __init__(self, peer_name: str, max_write_buffer: int) -> None:
         self.peer_name = peer_name
