--- a/rowanmast/iax2/peers.py
+++ b/rowanmast/iax2/peers.py
@@ -113,6 +113,7 @@
             removed()
 
     def restore(self) -> None:
+        """Discovery lists the switch again before the removal was done."""
         self.on_removal_done = None
 
     def abandon(self) -> None:
--- a/rowanmast/iax2/session.py
+++ b/rowanmast/iax2/session.py
@@ -23,7 +23,7 @@
         self.number = number  # the local call number
         self.remote_number = remote_number  # the remote side's call number; 0 until it is known
         self.started_at = now
-        self.heard_at = now
+        self.heard_at = now  # when a frame was last received
         self.oseqno = 0  # of the next frame sent
         self.iseqno = 0  # of the next frame expected
         self.last_timestamp = -1
@@ -105,6 +105,7 @@
         if frame.is_iax(Iax.PING, Iax.LAGRQ):
             answer = Iax.PONG if frame.is_iax(Iax.PING) else Iax.LAGRP
             self.send(now, FrameType.IAX, answer)
+            # A PONG or LAGRP carries the timestamp of its request.
             self.outbox[-1] = self.unacked[-1] = replace(self.unacked[-1], timestamp=frame.timestamp)
             return None
         self.reply(frame, Iax.ACK)
