--- a/rowanmast/addresses/connector.py
+++ b/rowanmast/addresses/connector.py
@@ -162,7 +162,7 @@
     """The address in the form that the socket module expects, with the zone as an interface index."""
     if endpoint.family is Family.IP4:
         return endpoint.host, endpoint.port
-    zone = endpoint.zone
+    zone = endpoint.scope
     scope_id = 0 if not zone else int(zone) if zone.isdigit() else socket.if_nametoindex(zone)
     return endpoint.host, endpoint.port, 0, scope_id
 
--- a/rowanmast/addresses/order.py
+++ b/rowanmast/addresses/order.py
@@ -36,13 +36,13 @@
     family: Family
     host: str
     port: int = 0
-    zone: str = ""  # the zone of a link-local IPv6 address (RFC 4007, section 11)
+    scope: str = ""  # the zone of a link-local IPv6 address (RFC 4007, section 11)
 
     def __str__(self) -> str:
         if self.family is Family.UNIX:
             return UNIX_PREFIX + self.host
         if self.family is Family.IP6:
-            zone_suffix = f"%{self.zone}" if self.zone else ""
+            zone_suffix = f"%{self.scope}" if self.scope else ""
             return f"[{self.host}{zone_suffix}]:{self.port}"
         return f"{self.host}:{self.port}"
 
