--- a/rowanmast/core/coldshare.py
+++ b/rowanmast/core/coldshare.py
@@ -54,24 +54,24 @@
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.router_names: set[str] = set()
+        self.members: set[str] = set()  # names of the routers that have joined
         self.windows: dict[str, ColdWindow] = {}  # by exchange
-        self.warm_rate = 0.0  # set-ups per second to one warm switch by all routers together, smoothed
-        self.count, self.counted_since = 0, 0  # set-ups in the current measurement of the rate
-        self.credit, self.credit_updated_at = 0.0, 0  # set-ups that may be sent to cold switches now
+        self.each = 0.0  # set-ups per second to one warm switch by all routers together, smoothed
+        self.count, self.since = 0, 0  # set-ups in the current rate measurement, and its start
+        self.credit, self.fed = 0.0, 0  # set-ups allowed to cold switches, and the time of its last update
 
     def join(self, name: str, settings: api.Settings) -> ColdShareMember:
         """Adds a router under a name of its own. Raises ValueError if the name is in use."""
         with self.lock:
-            if name in self.router_names:
+            if name in self.members:
                 raise ValueError(f"a router named {name!r} has already joined this ColdShare")
-            self.router_names.add(name)
+            self.members.add(name)
         return ColdShareMember(self, name, settings)
 
     def leave(self, name: str) -> None:
         """Removes a router; the set-ups that it has sent still count."""
         with self.lock:
-            self.router_names.discard(name)
+            self.members.discard(name)
             for window in self.windows.values():
                 window.denied.pop(name, None)
 
@@ -80,13 +80,13 @@
 
         `others` is the number of switches among which the router divides its set-ups.
         """
-        self.counted_since = self.counted_since or now
+        self.since = self.since or now
         self.count += 1
-        elapsed = now - self.counted_since
+        elapsed = now - self.since
         if elapsed >= RATE_WINDOW_US:
             rate = self.count * US_PER_SECOND / elapsed / max(others, 1)
-            self.warm_rate += (rate - self.warm_rate) * (SMOOTHING_WEIGHT if self.warm_rate else 1.0)
-            self.count, self.counted_since = 0, now
+            self.each += (rate - self.each) * (SMOOTHING_WEIGHT if self.each else 1.0)
+            self.count, self.since = 0, now
 
     def grant(self, now: int, name: str, settings: api.Settings, exchange: str, cold_until: int) -> bool:
         """Whether this router may send a set-up to a cold switch now; if so, it is counted as sent."""
@@ -95,22 +95,22 @@
         if not self.windows:
             # Each process starts at another fraction of a set-up, so that they don't round alike.
             self.credit = (settings.agent_index + 0.5) / max(settings.agents, 1) % 1.0
-            self.credit_updated_at = now
+            self.fed = now
         window = self.windows.setdefault(exchange, ColdWindow(cold_until))
         window.cold_until = cold_until
         span = max(settings.collapse_after_ns // NS_PER_US, 1)
         window.prune(now, span)
         rate_each = (  # set-ups per microsecond to one cold switch
             HEADROOM
-            * self.warm_rate
+            * self.each
             * settings.initial_capacity_fraction
             * settings.collapse_multiple
             * BUDGET_SAFETY_FACTOR
             / US_PER_SECOND
         )
         rate = rate_each * len(self.windows)
-        self.credit = min(self.credit + rate * (now - self.credit_updated_at), max(rate * span, 1.0))
-        self.credit_updated_at = max(now, self.credit_updated_at)
+        self.credit = min(self.credit + rate * (now - self.fed), max(rate * span, 1.0))
+        self.fed = max(now, self.fed)
         max_in_window = max(HEADROOM * rate_each * span, 1.0)
         if self.credit < 1.0 + window.has_underserved_router(name) or len(window.sent) >= max_in_window:
             window.denied[name] = now
--- a/rowanmast/embed/calls.py
+++ b/rowanmast/embed/calls.py
@@ -99,35 +99,35 @@
 class Ticket:
     """A submitted call, from which its one final outcome is collected."""
 
-    def __init__(self, control: CallControl, call: str) -> None:
-        self.control = control
+    def __init__(self, desk: CallControl, call: str) -> None:
+        self.desk = desk  # takes this call's commands to the router
         self.call = call
-        self.future: SharedFuture[Outcome] = SharedFuture()
+        self.latch: SharedFuture[Outcome] = SharedFuture()  # set to the outcome
 
     def result(self, timeout_s: float | None = None) -> Outcome:
         """Blocks until the call has its outcome.
 
         Raises TimeoutError after `timeout_s` seconds; the call goes on, and `result` may be called again.
         """
-        outcome = self.future.wait(timeout_s)
+        outcome = self.latch.wait(timeout_s)
         if outcome is None:
             raise TimeoutError(f"call {self.call}: no outcome within {timeout_s} s")
-        self.control.outcome_collected(self.call)
+        self.desk.outcome_collected(self.call)
         return outcome
 
     async def outcome(self) -> Outcome:
         """Waits for the outcome. Cancelling the task cancels the call, or releases it if it stands."""
         try:
-            outcome = await self.future.wait_async()
+            outcome = await self.latch.wait_async()
         except BaseException:  # cancelled, or destroyed together with its event loop
             self.cancel()
             raise
-        self.control.outcome_collected(self.call)
+        self.desk.outcome_collected(self.call)
         return outcome
 
     def cancel(self) -> None:
         """Cancels the call, or releases it if it stands. Its outcome need not be collected."""
-        self.control.end_call(self.call, NORMAL_CLEARING)
+        self.desk.end_call(self.call, NORMAL_CLEARING)
 
 
 class StandingCall:
@@ -136,39 +136,37 @@
     If it is garbage-collected while it stands, it is released and `call_dropped` is logged as a warning.
     """
 
-    def __init__(
-        self, control: CallControl, call: str, text: str, ending_future: SharedFuture[Ending]
-    ) -> None:
-        self.control = control
+    def __init__(self, desk: CallControl, call: str, text: str, ended: SharedFuture[Ending]) -> None:
+        self.desk = desk  # takes this call's commands to the router
         self.id = call
         self.text = text  # the description given by the switch
-        self.ending_future = ending_future
-        self.finalizer = weakref.finalize(self, control.reference_lost, call)
+        self.ended = ended  # set when the call has ended
+        self.finalizer = weakref.finalize(self, desk.reference_lost, call)
         self.finalizer.atexit = False  # the router's close at exit releases all standing calls
 
     @property
     def ending(self) -> Ending | None:
         """How the call ended, or None while it stands."""
-        return self.ending_future.value
+        return self.ended.value
 
     def release(self, cause: int = NORMAL_CLEARING) -> None:
         """Ends the call with a Q.850 cause code. Does nothing if it has ended. Does not block."""
         if self.finalizer.detach() is not None:
-            self.control.end_call(self.id, cause)
+            self.desk.end_call(self.id, cause)
 
     def wait(self, timeout_s: float | None = None) -> Ending:
         """Blocks until the call has ended.
 
         Raises TimeoutError after `timeout_s` seconds; the call goes on, and `wait` may be called again.
         """
-        ending = self.ending_future.wait(timeout_s)
+        ending = self.ended.wait(timeout_s)
         if ending is None:
             raise TimeoutError(f"call {self.id} still stands after {timeout_s} s")
         return ending
 
     async def over(self) -> Ending:
         """Waits until the call has ended, whoever ends it."""
-        return await self.ending_future.wait_async()
+        return await self.ended.wait_async()
 
     def __enter__(self) -> StandingCall:
         return self
--- a/rowanmast/embed/outcomes.py
+++ b/rowanmast/embed/outcomes.py
@@ -74,25 +74,26 @@
     transit: bool = False
 
     def __post_init__(self) -> None:
+        # The middlewares send these texts to clients in HTTP 400 responses, so they have to stay as they are.
         if not (isinstance(self.number, str) and 0 < len(self.number) <= MAX_NUMBER_CHARS):
-            raise RequestError(f"number: must have 1 to {MAX_NUMBER_CHARS} characters")
+            raise RequestError(f"number: give 1 to {MAX_NUMBER_CHARS} characters")
         if not isinstance(self.klass, str) or not self.klass:
-            raise RequestError("klass: must be the name of a class of call")
+            raise RequestError("klass: give the name of a class of call")
         if not is_route_number(self.dest, 0):
-            raise RequestError(f"dest: {self.dest!r} is not a switch number")
+            raise RequestError(f"dest: {self.dest!r} is no switch's number")
         if not (isinstance(self.wait_s, int | float) and 0 < self.wait_s <= MAX_WAIT_S):
-            raise RequestError(f"wait_s: {self.wait_s!r} is not between 0 and {MAX_WAIT_S:.0f} seconds")
+            raise RequestError(f"wait_s: {self.wait_s!r} does not lie between 0 and {MAX_WAIT_S:.0f} seconds")
         if self.width is not None and not is_route_number(self.width, 1):
-            raise RequestError(f"width: {self.width!r} is not a number of circuits")
+            raise RequestError(f"width: {self.width!r} is no number of circuits")
         if self.advised is not None and not is_route_number(self.advised, 0):
-            raise RequestError(f"advised: {self.advised!r} is not a switch number")
+            raise RequestError(f"advised: {self.advised!r} is no switch's number")
         for field in ("number", "klass", "text"):
             try:
                 length = len(getattr(self, field).encode())
             except (UnicodeEncodeError, AttributeError):
-                raise RequestError(f"{field}: not text that can be encoded as UTF-8") from None
+                raise RequestError(f"{field}: not text that UTF-8 can carry") from None
             if length > MAX_TEXT_BYTES:
-                raise RequestError(f"{field}: {length} bytes, the limit is {MAX_TEXT_BYTES}")
+                raise RequestError(f"{field}: {length} bytes are over {MAX_TEXT_BYTES}")
 
 
 def is_route_number(value: object, minimum: int) -> bool:
--- a/rowanmast/embed/router.py
+++ b/rowanmast/embed/router.py
@@ -89,7 +89,7 @@
             self.set_outcome(call, Failed(Failure.CANCELLED))
         elif host_call.ticket is not None:
             outcome = Stands(StandingCall(self.bridge, call, text, host_call.ending_future))
-            if not host_call.ticket.future.set_result(outcome):
+            if not host_call.ticket.latch.set_result(outcome):
                 self.bridge.end_call(call, NORMAL_CLEARING)  # the event loop that awaited it is closed
 
     def refuse(self, call: str, retry_after_us: int) -> None:
@@ -101,7 +101,7 @@
     def set_outcome(self, call: str, outcome: Outcome) -> None:
         host_call = self.bridge.remove_call(call)
         if host_call is not None and host_call.ticket is not None:
-            host_call.ticket.future.set_result(outcome)
+            host_call.ticket.latch.set_result(outcome)
 
     def release(self, call: str, cause: int) -> None:
         host_call = self.bridge.remove_call(call)
@@ -137,7 +137,7 @@
                 self.calls[call] = HostCall(ticket, request, deadline)
                 self.enqueue(call, None)
         if result is not AdmissionResult.ADMITTED:
-            ticket.future.set_result(Refused(REFUSAL_RETRY_AFTER_US / 1e6))
+            ticket.latch.set_result(Refused(REFUSAL_RETRY_AFTER_US / 1e6))
         return ticket
 
     def outcome_collected(self, call: str) -> None:
@@ -260,7 +260,7 @@
             self.admission.clear()
         for host_call in calls.values():
             if host_call.ticket is not None:
-                host_call.ticket.future.set_result(Failed(Failure.FAULT))
+                host_call.ticket.latch.set_result(Failed(Failure.FAULT))
             host_call.ending_future.set_result(Ending(EndedBy.CUT, TEMPORARY_FAILURE))
 
     def reset_after_fork(self) -> None:
@@ -272,7 +272,7 @@
         self.loop = None
         for host_call in self.calls.values():
             if host_call.ticket is not None:
-                host_call.ticket.future.set_after_fork(Failed(Failure.FAULT))
+                host_call.ticket.latch.set_after_fork(Failed(Failure.FAULT))
             host_call.ending_future.set_after_fork(Ending(EndedBy.CUT, TEMPORARY_FAILURE))
         self.calls = {}
 
@@ -310,13 +310,13 @@
         self.addresses = dict(addresses or {})
         self.preference = preference or Preference()
         self.reader = reader or Reader()
-        self.bridge = HostBridge(bounds or Bounds())
+        self.desk = HostBridge(bounds or Bounds())  # between the host's threads and the router's
         self.router: Router | None = None
         self.thread: threading.Thread | None = None
-        self.owner_pid = 0  # the process that opened it
-        self.startup_done = threading.Event()
-        self.thread_ended = threading.Event()
-        self.stop_requested: asyncio.Event | None = None
+        self.process = 0  # ID of the process that opened it
+        self.opened = threading.Event()  # start-up is done, or has failed
+        self.ended = threading.Event()  # the router's thread has ended
+        self.stop_asked: asyncio.Event | None = None  # set by `close` and `aclose`
         self.drain_s = DEFAULT_DRAIN_S
         self.failure: BaseException | None = None
 
@@ -355,12 +355,12 @@
         """
         if self.thread is not None:
             raise RouterClosed(f"router {self.name} was opened before; it can be opened only once")
-        self.owner_pid = self.bridge.owner_pid = os.getpid()  # the host may have forked since __init__
+        self.process = self.desk.owner_pid = os.getpid()  # the host may have forked since __init__
         self.thread = threading.Thread(
             target=self._run_thread, name=f"{EMBEDDED_THREAD_PREFIX}{self.name}", daemon=True
         )
         self.thread.start()
-        self.startup_done.wait()
+        self.opened.wait()
         if self.failure is not None:
             self.thread.join(JOIN_TIMEOUT_S)
             raise self.failure
@@ -378,7 +378,7 @@
         if threading.current_thread() is self.thread:
             raise RouterClosed("close() must not be called on the router's own thread")
         self._request_close(drain_s)
-        self.thread_ended.wait(drain_s + JOIN_TIMEOUT_S)
+        self.ended.wait(drain_s + JOIN_TIMEOUT_S)
         self.thread.join(JOIN_TIMEOUT_S)
         atexit.unregister(self.close)
 
@@ -394,14 +394,14 @@
 
     def ready(self) -> bool:
         """Whether the switches are known and each has a connection now. Does not block."""
-        if self.router is None or self.thread_ended.is_set() or not self.router.ledger.listed:
+        if self.router is None or self.ended.is_set() or not self.router.ledger.listed:
             return False
         links = list(self.router.listed_links.values())
         return all(getattr(link, "connections", True) for link in links)
 
     def drain(self) -> None:
         """Refuses new calls from now on. Existing calls continue until they end or `close` ends them."""
-        self.bridge.refuse_new_calls()
+        self.desk.refuse_new_calls()
 
     async def aclose(self, drain_s: float = DEFAULT_DRAIN_S) -> None:
         """Like `close`, without blocking the event loop."""
@@ -409,16 +409,16 @@
         await asyncio.to_thread(self.close, drain_s)
 
     def _request_close(self, drain_s: float) -> None:
-        self.bridge.refuse_new_calls()
+        self.desk.refuse_new_calls()
         self.drain_s = min(self.drain_s, drain_s)
-        loop, event = self.bridge.loop, self.stop_requested
+        loop, event = self.desk.loop, self.stop_asked
         if loop is not None and event is not None:
             with suppress(RuntimeError):  # the loop has closed in the meantime
                 loop.call_soon_threadsafe(event.set)
 
     def _owned_by_this_process(self) -> bool:
         """Whether this process opened the router. A forked child has no router thread."""
-        return self.owner_pid == os.getpid()
+        return self.process == os.getpid()
 
     def __enter__(self) -> EmbeddedRouter:
         self.open()
@@ -449,12 +449,12 @@
         """
         if self.thread is None or not self._owned_by_this_process():
             raise RouterClosed(f"router {self.name} is not open in this process")
-        if self.thread_ended.is_set():
+        if self.ended.is_set():
             raise RouterClosed(f"router {self.name} is closed")
         if request.klass not in self.config.classes:
             known = ", ".join(sorted(self.config.classes))
             raise RequestError(f"klass: {request.klass!r} is not in the settings, which have {known}")
-        return self.bridge.submit(request)
+        return self.desk.submit(request)
 
     async def place(self, request: CallRequest) -> Outcome:
         """Places a call and returns its final outcome. Raises as `submit`.
@@ -495,8 +495,8 @@
 
     def counts(self) -> tuple[int, int]:
         """The number of the host's calls without a final answer, and the number of standing calls."""
-        with self.bridge.lock:
-            return self.bridge.admission.open_count, self.bridge.admission.standing_count
+        with self.desk.lock:
+            return self.desk.admission.open_count, self.desk.admission.standing_count
 
     # The router's thread
 
@@ -506,16 +506,16 @@
                 runner.run(self._main())
         except BaseException as error:
             self.failure = error
-            if self.startup_done.is_set():
+            if self.opened.is_set():
                 log.exception("router_fault", extra={"router": self.name})
         finally:
-            self.bridge.fail_remaining()
-            self.thread_ended.set()
-            self.startup_done.set()
+            self.desk.fail_remaining()
+            self.ended.set()
+            self.opened.set()
 
     async def _main(self) -> None:
         loop = asyncio.get_running_loop()
-        self.stop_requested = asyncio.Event()
+        self.stop_asked = asyncio.Event()
         router = self.router = Router(self.config, self.reader, loop, share=self.share)
         try:
             if self.addresses:
@@ -525,16 +525,16 @@
                 router.add_components(component)
                 router.add_link_factory(component.make_link)
             await router.open()
-            self.bridge.attach(router)
-            self.startup_done.set()
-            while not self.stop_requested.is_set():
+            self.desk.attach(router)
+            self.opened.set()
+            while not self.stop_asked.is_set():
                 try:
-                    await asyncio.wait_for(self.stop_requested.wait(), UNCOLLECTED_CHECK_INTERVAL_S)
+                    await asyncio.wait_for(self.stop_asked.wait(), UNCOLLECTED_CHECK_INTERVAL_S)
                 except TimeoutError:
-                    self.bridge.end_uncollected()
+                    self.desk.end_uncollected()
             await self._shut_down(router)
         finally:
-            self.bridge.fail_remaining()  # before the loop closes, so that no command goes to a closed one
+            self.desk.fail_remaining()  # before the loop closes, so that no command goes to a closed one
             if router.ledger.cold_share is not None:
                 router.ledger.cold_share.leave()
 
@@ -548,7 +548,7 @@
             component.begin_shutdown()
             component.refuse_new_calls()
         await router.wait_until(lambda: not router.ledger.records, router.loop.time() + self.drain_s)
-        for call in self.bridge.open_calls():
+        for call in self.desk.open_calls():
             router.post(Cancelled(call))
         await router.wait_until(lambda: not router.ledger.unanswered_count(), router.loop.time() + 1.0)
         await router.complete_shutdown(router.loop.time() + 1.0)
@@ -576,9 +576,9 @@
 
     def __call__(self) -> None:
         embedded = self.embedded()
-        if embedded is None or embedded.router is None or embedded.thread_ended.is_set():
+        if embedded is None or embedded.router is None or embedded.ended.is_set():
             return
-        embedded.bridge.reset_after_fork()
+        embedded.desk.reset_after_fork()
         for transport in transports(embedded.router):
             descriptor = transport.get_extra_info("socket").fileno()
             if descriptor >= 0:
--- a/rowanmast/middleware/admission.py
+++ b/rowanmast/middleware/admission.py
@@ -92,7 +92,7 @@
         self.app = app
         self.clock = clock
         self.deadline_ns = int(deadline_s * NS_PER_S)
-        self.call_ids = itertools.count()
+        self.serial = itertools.count()  # call identifiers
         self.agent = CallAgent(settings_for(aim_s, deadline_s), seed)
         entry = api.ListEntry(APP_EXCHANGE, 0, None, api.ExchangeState.UP, None)
         self.agent.handle(clock(), api.ExchangeList(api.ListKind.FULL, (entry,)))
@@ -101,9 +101,9 @@
         if scope["type"] != "http":
             await self.app(scope, receive, send)
             return
-        call_id = str(next(self.call_ids))
+        call_id = str(next(self.serial))
         started_ns = self.clock()
-        (action,) = self.agent.handle(started_ns, self.make_call(call_id))
+        (action,) = self.agent.handle(started_ns, self.call(call_id))
         if not isinstance(action, api.SetUp):
             retry_after_ns = action.retry_after_ns if isinstance(action, api.RefuseCall) else 0
             await send_busy(send, max(math.ceil(retry_after_ns / NS_PER_S), 1))
@@ -134,9 +134,9 @@
                 ),
             )
 
-    def make_call(self, call_id: str) -> api.Call:
+    def call(self, name: str) -> api.Call:
         return api.Call(
-            call=call_id,
+            call=name,
             klass=0,
             key="",
             tenant=None,
--- a/rowanmast/middleware/mapping.py
+++ b/rowanmast/middleware/mapping.py
@@ -25,14 +25,13 @@
     number = headers.get(NUMBER_HEADER)
     if number is None:
         return None
+    # The middlewares send the texts below to clients in HTTP 400 responses, so they have to stay as they are.
     if DEST_HEADER not in headers:
-        raise RequestError(
-            f"{DEST_HEADER}: is missing; it gives the number of the switch that holds the record"
-        )
+        raise RequestError(f"{DEST_HEADER}: is missing: the number of the centre that holds the record")
     if WAIT_MS_HEADER in headers:
         wait_s = int_header(headers, WAIT_MS_HEADER) / 1000
     if not 0 < wait_s <= MAX_WAIT_S:
-        raise RequestError(f"{WAIT_MS_HEADER}: must be 1 to {MAX_WAIT_S * 1000:.0f} milliseconds")
+        raise RequestError(f"{WAIT_MS_HEADER}: give 1 to {MAX_WAIT_S * 1000:.0f} milliseconds")
     return CallRequest(
         number=number,
         dest=int_header(headers, DEST_HEADER),
--- a/rowanmast/net/logs.py
+++ b/rowanmast/net/logs.py
@@ -38,10 +38,10 @@
 
     def __init__(self, name: str) -> None:
         super().__init__()
-        self.thread_name = EMBEDDED_THREAD_PREFIX + name
+        self.thread = EMBEDDED_THREAD_PREFIX + name  # name of the router's thread
 
     def filter(self, record: logging.LogRecord) -> bool:
-        return record.threadName == self.thread_name
+        return record.threadName == self.thread
 
 
 def configure_logging(name: str) -> None:
--- a/tests/router_modes.py
+++ b/tests/router_modes.py
@@ -125,7 +125,7 @@
         object.__setattr__(self, "_embedded", embedded)
 
     def _on_router_thread(self, action: Any) -> Any:
-        thread, loop = self._embedded.thread, self._embedded.bridge.loop
+        thread, loop = self._embedded.thread, self._embedded.desk.loop
         if loop is None or threading.current_thread() is thread:
             return self._wrap(action())
         done: concurrent.futures.Future[Any] = concurrent.futures.Future()
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -243,13 +243,13 @@
     task = loop.create_task(waiting)
     loop.run_until_complete(asyncio.sleep(0.05))
     assert router.counts() == (1, 0)
-    held = next(iter(router.bridge.calls.values()))
+    held = next(iter(router.desk.calls.values()))
     loop.close()
     fleet.command("unmute", "s1")
     other = router.submit(make_request("72", dest=2))
     assert isinstance(other.result(1.0), Stands), "another call is affected"
     wait_until(lambda: router.counts()[0] == 0, 1.0)
-    assert held.ticket is None or held.ticket.future.value is not None, "the call was not answered"
+    assert held.ticket is None or held.ticket.latch.value is not None, "the call was not answered"
     del task, waiting
 
 
@@ -270,10 +270,10 @@
     started = time.monotonic()
     tickets = [router.submit(make_request(str(at), wait_s=0.5)) for at in range(5000)]
     took = time.monotonic() - started
-    answered = [ticket for ticket in tickets if ticket.future.value is not None]
+    answered = [ticket for ticket in tickets if ticket.latch.value is not None]
     assert len(answered) >= 4950 and took < 1.0
     assert all(ticket.result() == Refused(1.0) for ticket in answered[:4000])
-    assert len(router.bridge.calls) <= 50 and len(router.bridge.commands) <= 50
+    assert len(router.desk.calls) <= 50 and len(router.desk.commands) <= 50
     outcomes = [ticket.result(2.0) for ticket in tickets]
     assert all(isinstance(outcome, Refused) for outcome in outcomes)
 
@@ -435,10 +435,10 @@
     def broken() -> None:
         raise MemoryError("odd")
 
-    monkeypatch.setattr(router.bridge, "end_uncollected", broken)
+    monkeypatch.setattr(router.desk, "end_uncollected", broken)
     assert waiting.result(2.0) == Failed(Failure.FAULT)
     assert isinstance(stands, Stands) and stands.call.wait(1.0).by is EndedBy.CUT
-    router.thread_ended.wait(2)
+    router.ended.wait(2)
     with pytest.raises(RouterClosed):
         router.submit(make_request())
     router.close()
@@ -557,7 +557,7 @@
         stopped.set()
         offering.join()
         for deadline, ticket in finals:
-            answered = ticket.future.wait(max(deadline + 0.1 - time.monotonic(), 0))
+            answered = ticket.latch.wait(max(deadline + 0.1 - time.monotonic(), 0))
             late += answered is None
             ticket.cancel()
         assert len(finals) > 300 and late == 0, "an admitted call was not answered by its deadline"
@@ -625,8 +625,8 @@
         with pytest.raises(ValueError, match="'n0' has already joined"):
             EmbeddedRouter(make_config(fleet), share=share).open()
         with EmbeddedRouter(make_config(fleet, "n2"), share=share):
-            assert share.router_names == {"n0", "n2"}
-    assert share.router_names == set()
+            assert share.members == {"n0", "n2"}
+    assert share.members == set()
 
 
 def test_embedded_routers_and_daemon_keep_limit_of_cold_switch(tmp_path: Path) -> None:
@@ -670,7 +670,7 @@
         worst = max(sum(at <= other < at + 1.0 for other in cold) for at in cold)
         assert before > 20 and worst > 5, "too few set-ups to test the limit"
         assert worst <= 2 * 0.34 * 2 * before * 1.1
-        assert share.router_names == set(), "a closed router is still a member"
+        assert share.members == set(), "a closed router is still a member"
 
 
 async def offer_calls(fleet: Fleet, routers: list[EmbeddedRouter], listen: int) -> None:
--- a/tests/test_routing_middleware.py
+++ b/tests/test_routing_middleware.py
@@ -146,10 +146,10 @@
     before = len(handled_bodies)
     for headers, message in (
         ({"X_Call_Dest": "x"}, "x-call-dest: 'x' is no figure"),
-        ({"X_Call_Wait_Ms": "0"}, "x-call-wait-ms: must be 1 to 3600000 milliseconds"),
+        ({"X_Call_Wait_Ms": "0"}, "x-call-wait-ms: give 1 to 3600000 milliseconds"),
         ({"X_Call_Class": "odd"}, "klass: 'odd' is not in the settings"),
-        ({"X_Call_Width": "0"}, "width: 0 is not a number of circuits"),
-        ({"X_Call_Number": ""}, "number: must have 1 to"),
+        ({"X_Call_Width": "0"}, "width: 0 is no number of circuits"),
+        ({"X_Call_Number": ""}, "number: give 1 to"),
     ):
         status, text, _ = send_request(served, **headers)
         assert status == 400 and text.startswith(message)
