--- a/benchmarks/parties.py
+++ b/benchmarks/parties.py
@@ -129,9 +129,9 @@
     return int(status.partition("VmRSS:")[2].split()[0])
 
 
-def thread_cpu_s(native: int | None) -> float:
+def thread_cpu_s(native_id: int | None) -> float:
     """Processor time of one thread of this process so far, in seconds."""
-    fields = Path(f"/proc/self/task/{native}/stat").read_text().rpartition(")")[2].split()
+    fields = Path(f"/proc/self/task/{native_id}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100
 
 
@@ -144,7 +144,7 @@
     async with EmbeddedRouter(config, bounds=Bounds(max_open=10_000, max_standing=100_000)) as router:
         await asyncio.to_thread(router.wait_ready)
 
-        async def one() -> None:
+        async def place_one() -> None:
             started_at = time.monotonic()
             outcome = await router.place(
                 CallRequest(secrets.token_hex(8), DEST, CALL_CLASS, 9.0, "dest=1 parcel")
@@ -156,7 +156,7 @@
 
         def place() -> None:
             result.offered += 1
-            task = loop.create_task(one())
+            task = loop.create_task(place_one())
             tasks.add(task)
             task.add_done_callback(tasks.discard)
 
@@ -167,10 +167,13 @@
             await asyncio.sleep(0.3)
             result.resident_kb = (resident_kb() - before) * 1000 // max(result.stood, 1)
         else:
-            native = router.thread.native_id if router.thread is not None else None
-            used, thread = cpu_s(), thread_cpu_s(native)
+            native_id = router.thread.native_id if router.thread is not None else None
+            cpu_before, thread_cpu_before = cpu_s(), thread_cpu_s(native_id)
             result.span_s = await place_steadily(rate, seconds, place)
-            result.cpu_s, result.router_cpu_s = cpu_s() - used, thread_cpu_s(native) - thread
+            result.cpu_s, result.router_cpu_s = (
+                cpu_s() - cpu_before,
+                thread_cpu_s(native_id) - thread_cpu_before,
+            )
             await asyncio.sleep(0.3)
         await router.aclose(0.0)
     print_json(asdict(result))
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -243,13 +243,13 @@
     task = loop.create_task(waiting)
     loop.run_until_complete(asyncio.sleep(0.05))
     assert router.counts() == (1, 0)
-    held = next(iter(router.desk.calls.values()))
+    host_call = next(iter(router.desk.calls.values()))
     loop.close()
     fleet.command("unmute", "s1")
     other = router.submit(make_request("72", dest=2))
     assert isinstance(other.result(1.0), Stands), "another call is affected"
     wait_until(lambda: router.counts()[0] == 0, 1.0)
-    assert held.ticket is None or held.ticket.latch.value is not None, "the call was not answered"
+    assert host_call.ticket is None or host_call.ticket.latch.value is not None, "the call was not answered"
     del task, waiting
 
 
@@ -513,7 +513,7 @@
         router = EmbeddedRouter(make_config(fleet), bounds=Bounds(max_open=400))
         router.open()
         wait_connected(router, 5)
-        finals: list[tuple[float, Ticket]] = []
+        submitted: list[tuple[float, Ticket]] = []
         random = Random(3)
         stopped = threading.Event()
 
@@ -522,7 +522,7 @@
             while not stopped.is_set():
                 wait = random.choice((0.6, 1.0, 3.0))
                 ticket = router.submit(make_request(f"t{index}", dest=1 + index % 5, wait_s=wait))
-                finals.append((time.monotonic() + wait, ticket))
+                submitted.append((time.monotonic() + wait, ticket))
                 index += 1
                 time.sleep(0.004)
 
@@ -556,11 +556,11 @@
         hosting.join()
         stopped.set()
         offering.join()
-        for deadline, ticket in finals:
+        for deadline, ticket in submitted:
             answered = ticket.latch.wait(max(deadline + 0.1 - time.monotonic(), 0))
             late += answered is None
             ticket.cancel()
-        assert len(finals) > 300 and late == 0, "an admitted call was not answered by its deadline"
+        assert len(submitted) > 300 and late == 0, "an admitted call was not answered by its deadline"
         wait_until(lambda: router.counts() == (0, 0))
         report = fleet.report()
         assert report["violations"] == [] and report["in_flight"] == 0
--- a/tools/api_reference.py
+++ b/tools/api_reference.py
@@ -36,7 +36,7 @@
     return inspect.cleandoc(inspect.getdoc(target) or "").strip()
 
 
-def is_plain(name: str, member: Any) -> bool:
+def is_public_member(name: str, member: Any) -> bool:
     """Whether a member is a public method or property."""
     return not name.startswith("_") and (inspect.isfunction(member) or isinstance(member, property))
 
@@ -54,7 +54,7 @@
         return [f"### `{name}`{kind}", "", docstring(target), "", f"Values: {values}.", ""]
     lines = [f"### `{name}{signature(target)}`{kind}", "", docstring(target), ""]
     for member_name, member in vars(target).items():
-        if is_plain(member_name, member) and inspect.getdoc(member):
+        if is_public_member(member_name, member) and inspect.getdoc(member):
             call = "" if isinstance(member, property) else signature(member)
             wait = "await " if inspect.iscoroutinefunction(member) else ""
             lines.append(f"- `{wait}{member_name}{call}`: {' '.join(docstring(member).split())}")
