--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""`make bench`: measures the bare ledger, the library and the daemon with the same simulated switch."""
+"""`make bench`: measures the bare ledger, then the library and the daemon with the same simulated switch."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 
 def print_ledger_table(quick: bool) -> float:
-    """Measures the bare ledger; returns its calls a second with one switch and 1,000 calls/s offered."""
+    """Measures the bare ledger; returns its calls/s of one core with one switch and 1,000 calls/s offered."""
     print("| switches | offered a second | calls/s of one core | µs a call |")
     print("| ---: | ---: | ---: | ---: |")
     for switches in SWITCHES:
--- a/benchmarks/parties.py
+++ b/benchmarks/parties.py
@@ -38,7 +38,7 @@
     """The result of a load.
 
     Delays are in seconds; `cpu_s` is the processor time of the load's process, `router_cpu_s` that of its
-    router's thread.
+    router's thread. `resident_kb` is the resident memory of 1,000 standing calls.
     """
 
     offered: int = 0
@@ -79,7 +79,7 @@
 
 
 async def sip(listen: tuple[str, int], rate: float, seconds: float) -> None:
-    """Places calls over SIP to a daemon."""
+    """Places calls through a daemon, over SIP."""
     loop = asyncio.get_running_loop()
     _, station = await loop.create_connection(lambda: SimulatedStation(CALL_CLASS, 9.0), *listen)
     span = await place_steadily(rate, seconds, lambda: station.dial(DEST))
@@ -136,7 +136,7 @@
 
 
 async def library(changelog: tuple[str, int], rate: float, seconds: float, standing: int = 0) -> None:
-    """Places calls through an embedded router; with `standing`, measures the memory of so many calls."""
+    """Places calls through an embedded router; with `standing`, measures the memory of that many calls."""
     config = check_config(config_document(("127.0.0.1", 9), changelog, 1), Reader())
     loop = asyncio.get_running_loop()
     result = LoadResult()
--- a/examples/toy_caller.py
+++ b/examples/toy_caller.py
@@ -1,4 +1,7 @@
-"""A minimal station: places one call through the router of examples/config.json and prints its messages."""
+"""A minimal station: places one call through the router of examples/config.json.
+
+Prints what it receives, until the call is released.
+"""
 
 from __future__ import annotations
 
--- a/rowanmast/core/coldshare.py
+++ b/rowanmast/core/coldshare.py
@@ -1,11 +1,11 @@
 """Divides the set-ups that may be sent to a cold switch among the routers of one process.
 
 The decision module limits a router's set-ups to a cold switch (one that has just started) to a share that it
-derives from the router's rate to warm switches. Several routers in one process take the place of one, so
-together they may send a cold switch no more than one router would. Separate limits would exceed that: each
-router rounds its share up to a whole set-up, and each starts its count from zero. Hence one common account:
-the combined rate to a warm switch, one credit for all cold switches, and a window of recent set-ups for each
-cold switch. A router that had more of the window leaves a credit for one that was denied, so that a busy
+derives from the router's mean rate of set-ups to one switch. Several routers in one process take the place of
+one, so together they may send a cold switch no more than one router would. Separate limits would exceed that:
+each router rounds its share up to a whole set-up, and each starts its count from zero. Hence one common
+account: the combined rate to one switch, one credit for all cold switches, and a window of recent set-ups for
+each cold switch. A router that had more of the window leaves a credit for one that was denied, so that a busy
 router can't starve the others.
 
 Times are microseconds of the monotonic clock, passed in by the caller; the module has no clock, I/O or
@@ -22,10 +22,10 @@
 
 US_PER_SECOND = 1_000_000
 NS_PER_US = 1000
-RATE_WINDOW_US = 2 * US_PER_SECOND  # period over which the rate to warm switches is measured
+RATE_WINDOW_US = 2 * US_PER_SECOND  # least period over which the rate of set-ups is measured
 SMOOTHING_WEIGHT = 0.3  # of a new measurement in the smoothed rate
 BUDGET_SAFETY_FACTOR = 0.8  # part of a cold switch's budget that is used, as in the decision module
-HEADROOM = 2.0  # a warm switch can take at least twice what one router sends it
+HEADROOM = 2.0  # a warm switch can take at least twice what the process sends it
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
     denied: dict[str, int] = field(default_factory=dict)  # router -> time of its last denied request
 
     def prune(self, now: int, span: int) -> None:
-        """Deletes the entries that are older than `span`."""
+        """Deletes the entries that are at least `span` old."""
         while self.sent and now - self.sent[0][0] >= span:
             self.sent.popleft()
         for name in [name for name, denied_at in self.denied.items() if now - denied_at >= span]:
@@ -56,7 +56,7 @@
         self.lock = threading.Lock()
         self.members: set[str] = set()  # names of the routers that have joined
         self.windows: dict[str, ColdWindow] = {}  # by exchange
-        self.each = 0.0  # set-ups per second to one warm switch by all routers together, smoothed
+        self.each = 0.0  # mean set-ups per second to one switch by all routers together, smoothed
         self.count, self.since = 0, 0  # set-ups in the current rate measurement, and its start
         self.credit, self.fed = 0.0, 0  # set-ups allowed to cold switches, and the time of its last update
 
@@ -76,7 +76,7 @@
                 window.denied.pop(name, None)
 
     def note(self, now: int, others: int) -> None:
-        """Counts a set-up for the rate to warm switches.
+        """Counts a set-up, to a warm or a cold switch, for the mean rate to one switch.
 
         `others` is the number of switches among which the router divides its set-ups.
         """
@@ -93,7 +93,7 @@
         for key in [key for key, window in self.windows.items() if now >= window.cold_until]:
             del self.windows[key]
         if not self.windows:
-            # Each process starts at another fraction of a set-up, so that they don't round alike.
+            # The fraction given by the agent's index makes the processes take turns.
             self.credit = (settings.agent_index + 0.5) / max(settings.agents, 1) % 1.0
             self.fed = now
         window = self.windows.setdefault(exchange, ColdWindow(cold_until))
@@ -111,6 +111,7 @@
         rate = rate_each * len(self.windows)
         self.credit = min(self.credit + rate * (now - self.fed), max(rate * span, 1.0))
         self.fed = max(now, self.fed)
+        # One switch gets at most twice its own rate, as the credit is common to all cold switches.
         max_in_window = max(HEADROOM * rate_each * span, 1.0)
         if self.credit < 1.0 + window.has_underserved_router(name) or len(window.sent) >= max_in_window:
             window.denied[name] = now
--- a/rowanmast/embed/admission.py
+++ b/rowanmast/embed/admission.py
@@ -1,8 +1,8 @@
 """Admission control of an embedded router towards its host. Has no clock, threads or sockets.
 
-A host may submit too many calls, never collect outcomes, or die with calls in progress. This module decides
-which calls are admitted and which outcomes have expired uncollected; routing and load control belong to the
-decision module. Times are microseconds of the monotonic clock.
+A host may submit too many calls, never collect outcomes, or close an event loop that awaits some. This module
+decides which calls are admitted and which outcomes have expired uncollected; routing and load control belong
+to the decision module. Times are microseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 from dataclasses import dataclass
 from enum import Enum
 
-REFUSAL_RETRY_AFTER_US = 1_000_000  # given to calls that are refused at the host's bounds
+REFUSAL_RETRY_AFTER_US = 1_000_000  # for calls refused at the bounds or while closing
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Limits on the calls of one host at any time.
+    """Limits on the calls of one host.
 
-    `max_open` limits the calls without a final answer, `max_standing` the standing calls; a call beyond
-    either is refused. A standing call whose outcome is not collected within `collect_us` microseconds is
-    released.
+    A new call is refused while `max_open` calls have no final answer or `max_standing` calls stand; a call
+    that was admitted before may still be answered and stand. A standing call whose outcome is not collected
+    within `collect_us` microseconds is released.
     """
 
     max_open: int = 1000
@@ -69,7 +69,7 @@
         return AdmissionResult.ADMITTED
 
     def mark_standing(self, call: str, now: int) -> bool:
-        """Records that an open call stands; False if it is not open, so that it must be released."""
+        """Records that an open call stands; False if it is not open, and then has to be released."""
         if self.states.get(call) is not CallState.OPEN:
             return False
         self.open_count -= 1
@@ -100,7 +100,7 @@
         self.open_count = 0
 
     def expired_outcomes(self, now: int) -> list[str]:
-        """The calls whose outcome was not collected in time, oldest first. The caller must end them."""
+        """The calls whose outcome was not collected in time, oldest first. It does not end them."""
         expired: list[str] = []
         for call, since in self.uncollected_since.items():
             if now - since < self.bounds.collect_us:
--- a/rowanmast/embed/calls.py
+++ b/rowanmast/embed/calls.py
@@ -41,7 +41,10 @@
         self.waiters: list[tuple[asyncio.AbstractEventLoop, asyncio.Future[Value]]] = []
 
     def set_result(self, value: Value) -> bool:
-        """Wakes all waiters. False if a waiting event loop is closed and so can't receive the value."""
+        """Sets the value, unless it is set already, and wakes all waiters.
+
+        False if a waiting event loop is closed and so can't receive the value.
+        """
         with self.lock:
             if self.value is not None:
                 return True
@@ -97,7 +100,7 @@
 
 
 class Ticket:
-    """A submitted call, from which its one final outcome is collected."""
+    """A submitted call. Its one final outcome is collected by `result` or `outcome`."""
 
     def __init__(self, desk: CallControl, call: str) -> None:
         self.desk = desk  # takes this call's commands to the router
--- a/rowanmast/embed/outcomes.py
+++ b/rowanmast/embed/outcomes.py
@@ -51,7 +51,7 @@
     """A call to be placed. Raises RequestError if a field is invalid.
 
     - `number`: the called number, 1 to 4096 characters and at most 12 KiB of UTF-8.
-    - `dest`: the number of the destination switch, that of the centre that holds the record; 0 to 999999999.
+    - `dest`: the number of the destination switch (at the centre that holds the record), 0 to 999999999.
     - `klass`: the class of call, by its name in the settings.
     - `wait_s`: how long the host waits for the final answer, in seconds, up to 3600.
     - `text`: the description passed to the switch, at most 12 KiB of UTF-8.
--- a/rowanmast/embed/router.py
+++ b/rowanmast/embed/router.py
@@ -54,9 +54,9 @@
 from rowanmast.net.logs import EMBEDDED_THREAD_PREFIX
 
 UNCOLLECTED_CHECK_INTERVAL_S = 0.1
-DEFAULT_DRAIN_S = 10.0  # how long close() waits for standing calls
+DEFAULT_DRAIN_S = 10.0  # how long close() waits for existing calls to end
 READY_POLL_INTERVAL_S = 0.01
-EXIT_DRAIN_S = 0.0  # at interpreter exit standing calls are released at once
+EXIT_DRAIN_S = 0.0  # at interpreter exit all calls are ended at once
 JOIN_TIMEOUT_S = 5.0  # after the drain, for the last bytes to be sent and the thread to end
 
 log = logging.getLogger(__name__)
@@ -69,7 +69,7 @@
 
     def __init__(self, ticket: Ticket, request: CallRequest, deadline_us: int) -> None:
         self.ticket: Ticket | None = ticket  # None once collected, as it keeps the StandingCall alive
-        self.request: CallRequest | None = request
+        self.request: CallRequest | None = request  # None once passed to the router
         self.deadline_us = deadline_us
         self.ending_future: SharedFuture[Ending] = SharedFuture()
         self.host_cause: int | None = None  # cause with which the host ended the call
@@ -299,9 +299,9 @@
         """`config` is a checked configuration; its `listen` and `sockets` are not used.
 
         Routers of one process should be given the same `share` and configurations with different names, so
-        that together they keep the limit of a cold switch. With `iax`, IAX2 callers and switches are served
-        too. `addresses` maps switches to the addresses that replace the one in the change log; they are
-        tried in the order of `preference`.
+        that together they keep the limit of set-ups to a cold switch (one that has just started). With `iax`,
+        IAX2 callers and switches are served too. `addresses` maps switches to the addresses that replace the
+        one in the change log; they are tried in the order of `preference`.
         """
         self.config = config
         self.name = config.name
@@ -383,7 +383,7 @@
         atexit.unregister(self.close)
 
     def wait_ready(self, timeout_s: float = 2.0) -> bool:
-        """Blocks until the switches are known and each is connected; False after `timeout_s` seconds.
+        """Blocks until `ready` returns True; returns False after `timeout_s` seconds.
 
         Calls may be placed earlier; those to a switch that is not known yet are refused.
         """
@@ -393,7 +393,10 @@
         return self.ready()
 
     def ready(self) -> bool:
-        """Whether the switches are known and each has a connection now. Does not block."""
+        """Whether the switches are known and each has a connection now. Does not block.
+
+        Switches that use IAX2, which has no connections, count as connected.
+        """
         if self.router is None or self.ended.is_set() or not self.router.ledger.listed:
             return False
         links = list(self.router.listed_links.values())
@@ -539,7 +542,7 @@
                 router.ledger.cold_share.leave()
 
     async def _shut_down(self, router: Router) -> None:
-        """Waits for the drain, answers unanswered calls, releases standing calls and closes the links."""
+        """Waits up to `drain_s` for the calls to end, ends the remaining ones and closes the links."""
         log.info(
             "stopping", extra={"owed": router.ledger.unanswered_count(), "calls": len(router.ledger.records)}
         )
@@ -565,7 +568,7 @@
 
 
 class ForkHandler:
-    """Closes the copies of the router's sockets in a forked child, which has no thread to serve them.
+    """Closes the copies of the router's open sockets in a forked child, which has no thread to serve them.
 
     Otherwise peers would not see the connections end when the parent closes them. Only the descriptors are
     closed: any other operation on the copied loop would affect the parent's epoll set.
@@ -586,7 +589,10 @@
 
 
 def transports(router: Router) -> Iterator[asyncio.BaseTransport]:
-    """The transports of switch links and of IAX2, which peers would see as open if a child kept them."""
+    """The transports to listed switches and of IAX2, which peers would see as open if a child kept them.
+
+    A connection that is still being opened has no transport yet, so it is missing here (KNOWN-RED.txt).
+    """
     for link in router.listed_links.values():
         for connection in getattr(link, "connections", ()):
             if connection.transport is not None:
--- a/rowanmast/middleware/__init__.py
+++ b/rowanmast/middleware/__init__.py
@@ -1,7 +1,8 @@
-"""Middleware for web applications, based on the embedded router.
+"""Middleware for web applications.
 
-RoutingMiddleware (ASGI) and WsgiRoutingMiddleware place a call for a request and give its handler the
-standing call. AdmissionMiddleware (ASGI) places no call: it admits or refuses requests by the same decisions.
+RoutingMiddleware (ASGI) and WsgiRoutingMiddleware place a call for a request through an embedded router and
+give its handler the standing call. AdmissionMiddleware (ASGI) places no call and needs no router: it admits
+or refuses requests by the decision module alone.
 """
 
 from rowanmast.middleware.admission import AdmissionMiddleware
--- a/rowanmast/middleware/admission.py
+++ b/rowanmast/middleware/admission.py
@@ -1,4 +1,4 @@
-"""ASGI middleware that admits HTTP requests to an application by the router's admission control.
+"""ASGI middleware that admits or refuses HTTP requests to an application by the router's decision module.
 
 The decision module sees the application as the only exchange, and a request as a call to it, which stands
 when its response starts and is over when the response ends. When responses start late, the module throttles,
@@ -76,9 +76,9 @@
     """Admits HTTP requests to an ASGI application, or answers them 503 with Retry-After.
 
     Responses should start within `aim_s` seconds; the decision module throttles requests when responses start
-    later than a quarter of that. `deadline_s` is the deadline of a request, in seconds, for the module;
-    the application is not interrupted by it. `seed` seeds the random numbers, and `clock` returns monotonic
-    nanoseconds. Scopes other than HTTP pass through.
+    later than a quarter of that, or than 1.6 times the quickest one if that is more. `deadline_s` is the
+    deadline of a request, in seconds, for the module; the application is not interrupted by it. `seed` seeds
+    the random numbers, and `clock` returns monotonic nanoseconds. Scopes other than HTTP pass through.
     """
 
     def __init__(
@@ -135,6 +135,7 @@
             )
 
     def call(self, name: str) -> api.Call:
+        # The decision module's call for one request; `name` is its identifier.
         return api.Call(
             call=name,
             klass=0,
--- a/rowanmast/net/logs.py
+++ b/rowanmast/net/logs.py
@@ -5,7 +5,7 @@
 import logging
 import sys
 
-EMBEDDED_THREAD_PREFIX = "rowanmast:"  # of an embedded router's thread; its name follows
+EMBEDDED_THREAD_PREFIX = "rowanmast:"  # of the name of an embedded router's thread, before the router's
 STANDARD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
 
 
--- a/rowanmast/options/reader.py
+++ b/rowanmast/options/reader.py
@@ -55,7 +55,10 @@
 
 
 def field_lines(text: str) -> Iterator[tuple[str, int]]:
-    """The path and line of each field. The text must have been parsed before, so that its syntax is valid."""
+    """The path and line of each field, with its index as in families[0]; of the first one also without it.
+
+    The text must have been parsed before, so that its syntax is valid.
+    """
     tokens = text_format.Tokenizer(text.splitlines())
     stack: list[tuple[str, dict[str, int]]] = [("", {})]
     name, line = "", 1
@@ -76,6 +79,7 @@
                 yield f"{name}[{count}]", line
                 if count == 0:
                     yield name, line
+                # The only repeated messages: the paths of their fields contain the index.
                 name = f"{name}[{count}]" if token == "switches" else name
             continue
         tokens.NextToken()
--- a/tests/test_coldshare.py
+++ b/tests/test_coldshare.py
@@ -1,4 +1,4 @@
-"""The routers of one process divide a cold switch's share: ColdShare alone, and whole ledgers."""
+"""The routers of one process divide the set-ups to a cold switch: ColdShare alone, and whole ledgers."""
 
 from __future__ import annotations
 
@@ -29,10 +29,9 @@
     collapse_after_ns=SECOND,
 )
 START_US = START // 1000
-COLD_START_NS = START + 4 * SECOND  # after the measured rates to warm switches have settled
-COLD_RATE_FACTOR = (
-    2 * SITE.initial_capacity_fraction * SITE.collapse_multiple * 0.8
-)  # of the rate to a warm switch
+COLD_START_NS = START + 4 * SECOND  # after the measured rates have settled
+# Rate to a cold switch, as a multiple of the rate to a warm one.
+COLD_RATE_FACTOR = 2 * SITE.initial_capacity_fraction * SITE.collapse_multiple * 0.8
 
 
 def most_in_window(times: list[int], span: int = SECOND_US) -> int:
@@ -65,7 +64,8 @@
         now += wait
         if members[which_member].try_acquire(now, cold[which_switch], 4):
             granted[cold[which_switch].exchange].append(now)
-    burst = 2 * COLD_RATE_FACTOR * warm_rate  # a window may be spent in one burst at twice the rate
+    # One switch gets at most twice its rate in a window, which it may get in one burst.
+    burst = 2 * COLD_RATE_FACTOR * warm_rate
     for times in granted.values():
         assert most_in_window(times) <= max(burst, 1.0)
     total = sum(map(len, granted.values()))
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -375,7 +375,10 @@
     ],
 )
 def test_host_exit_with_200_standing_calls(fleet: Fleet, end: str, released: bool) -> None:
-    """Every interpreter exit releases the calls at their switches. SIGKILL leaves no set-up in flight."""
+    """Every interpreter exit releases the calls at their switches; SIGKILL leaves them standing.
+
+    Neither leaves a set-up in flight, which the fixture checks.
+    """
     host, port = fleet.changelog
     code = HOST_SCRIPT.format(tests=str(ROOT / "tests"), host=host, port=port, end=end)
     process = subprocess.Popen(
@@ -600,7 +603,7 @@
         for thread in threads:
             thread.start()
         rounds = 0
-        # Few calls are resent in a round.
+        # A round resends few calls or none, so there are more rounds until one was resent.
         while rounds < 8 or (rounds < 60 and not fleet.report()["retries"]):
             rounds += 1
             fleet.command("mute", "s1")
@@ -633,8 +636,8 @@
     """A cold switch comes up while two embedded routers and a daemon send calls to the fleet.
 
     Together they may send it twice its capacity. A warm switch of this size is sent `before` set-ups per
-    second here and handles twice that with the calls of its own stations. A cold one has 34 % of that
-    capacity, so it may be sent 2 x 0.34 x 2 x `before`.
+    second here; with the calls of its own stations its capacity is twice that. A cold one has 34 % of that
+    capacity, so it may be sent 2 x 0.34 x 2 x `before`. The test allows 10 % more.
     """
     with Fleet([1, 2, 3, 4], hold_s=0.05) as fleet:
         share = ColdShare()
--- a/tools/api_reference.py
+++ b/tools/api_reference.py
@@ -13,12 +13,12 @@
 PAGE_PATH = Path(__file__).resolve().parent.parent / "docs" / "api.md"
 PAGE_HEADER = """# API of the library
 
-Made by `make api` from the code; a test holds the two together. How to use it: `embedding.md`.
+Made by `make api` from the code; a test checks that they match. How to use it: `embedding.md`.
 """
 
 
 def signature(target: Any) -> str:
-    """The signature as text, without `self` and quoted annotations; empty if there is none."""
+    """The signature as text, without `self` and quotes around annotations; empty if there is none."""
     try:
         text = str(inspect.signature(target))
     except (ValueError, TypeError):
@@ -37,7 +37,7 @@
 
 
 def is_public_member(name: str, member: Any) -> bool:
-    """Whether a member is a public method or property."""
+    """Whether a member is a public method or property; class methods are not included."""
     return not name.startswith("_") and (inspect.isfunction(member) or isinstance(member, property))
 
 
