--- a/benchmarks/parties.py
+++ b/benchmarks/parties.py
@@ -38,7 +38,7 @@
     """The result of a load.
 
     Delays are in seconds; `cpu_s` is the processor time of the load's process, `router_cpu_s` that of its
-    router's thread.
+    router's thread. `resident_kb` is the resident memory of 1,000 standing calls.
     """
 
     offered: int = 0
@@ -79,7 +79,7 @@
 
 
 async def sip(listen: tuple[str, int], rate: float, seconds: float) -> None:
-    """Places calls over SIP to a daemon."""
+    """Places calls through a daemon, over SIP."""
     loop = asyncio.get_running_loop()
     _, station = await loop.create_connection(lambda: SimulatedStation(CALL_CLASS, 9.0), *listen)
     span = await place_steadily(rate, seconds, lambda: station.dial(DEST))
@@ -129,14 +129,14 @@
     return int(status.partition("VmRSS:")[2].split()[0])
 
 
-def thread_cpu_s(native: int | None) -> float:
+def thread_cpu_s(native_id: int | None) -> float:
     """Processor time of one thread of this process so far, in seconds."""
-    fields = Path(f"/proc/self/task/{native}/stat").read_text().rpartition(")")[2].split()
+    fields = Path(f"/proc/self/task/{native_id}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100
 
 
 async def library(changelog: tuple[str, int], rate: float, seconds: float, standing: int = 0) -> None:
-    """Places calls through an embedded router; with `standing`, measures the memory of so many calls."""
+    """Places calls through an embedded router; with `standing`, measures the memory of that many calls."""
     config = check_config(config_document(("127.0.0.1", 9), changelog, 1), Reader())
     loop = asyncio.get_running_loop()
     result = LoadResult()
@@ -144,7 +144,7 @@
     async with EmbeddedRouter(config, bounds=Bounds(max_open=10_000, max_standing=100_000)) as router:
         await asyncio.to_thread(router.wait_ready)
 
-        async def one() -> None:
+        async def place_one() -> None:
             started_at = time.monotonic()
             outcome = await router.place(
                 CallRequest(secrets.token_hex(8), DEST, CALL_CLASS, 9.0, "dest=1 parcel")
@@ -156,7 +156,7 @@
 
         def place() -> None:
             result.offered += 1
-            task = loop.create_task(one())
+            task = loop.create_task(place_one())
             tasks.add(task)
             task.add_done_callback(tasks.discard)
 
@@ -167,10 +167,13 @@
             await asyncio.sleep(0.3)
             result.resident_kb = (resident_kb() - before) * 1000 // max(result.stood, 1)
         else:
-            native = router.thread.native_id if router.thread is not None else None
-            used, thread = cpu_s(), thread_cpu_s(native)
+            native_id = router.thread.native_id if router.thread is not None else None
+            cpu_before, thread_cpu_before = cpu_s(), thread_cpu_s(native_id)
             result.span_s = await place_steadily(rate, seconds, place)
-            result.cpu_s, result.router_cpu_s = cpu_s() - used, thread_cpu_s(native) - thread
+            result.cpu_s, result.router_cpu_s = (
+                cpu_s() - cpu_before,
+                thread_cpu_s(native_id) - thread_cpu_before,
+            )
             await asyncio.sleep(0.3)
         await router.aclose(0.0)
     print_json(asdict(result))
--- a/rowanmast/middleware/admission.py
+++ b/rowanmast/middleware/admission.py
@@ -1,4 +1,4 @@
-"""ASGI middleware that admits HTTP requests to an application by the router's admission control.
+"""ASGI middleware that admits or refuses HTTP requests to an application by the router's decision module.
 
 The decision module sees the application as the only exchange, and a request as a call to it, which stands
 when its response starts and is over when the response ends. When responses start late, the module throttles,
@@ -76,9 +76,9 @@
     """Admits HTTP requests to an ASGI application, or answers them 503 with Retry-After.
 
     Responses should start within `aim_s` seconds; the decision module throttles requests when responses start
-    later than a quarter of that. `deadline_s` is the deadline of a request, in seconds, for the module;
-    the application is not interrupted by it. `seed` seeds the random numbers, and `clock` returns monotonic
-    nanoseconds. Scopes other than HTTP pass through.
+    later than a quarter of that, or than 1.6 times the quickest one if that is more. `deadline_s` is the
+    deadline of a request, in seconds, for the module; the application is not interrupted by it. `seed` seeds
+    the random numbers, and `clock` returns monotonic nanoseconds. Scopes other than HTTP pass through.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self.app = app
         self.clock = clock
         self.deadline_ns = int(deadline_s * NS_PER_S)
-        self.call_ids = itertools.count()
+        self.serial = itertools.count()  # call identifiers
         self.agent = CallAgent(settings_for(aim_s, deadline_s), seed)
         entry = api.ListEntry(APP_EXCHANGE, 0, None, api.ExchangeState.UP, None)
         self.agent.handle(clock(), api.ExchangeList(api.ListKind.FULL, (entry,)))
@@ -101,9 +101,9 @@
         if scope["type"] != "http":
             await self.app(scope, receive, send)
             return
-        call_id = str(next(self.call_ids))
+        call_id = str(next(self.serial))
         started_ns = self.clock()
-        (action,) = self.agent.handle(started_ns, self.make_call(call_id))
+        (action,) = self.agent.handle(started_ns, self.call(call_id))
         if not isinstance(action, api.SetUp):
             retry_after_ns = action.retry_after_ns if isinstance(action, api.RefuseCall) else 0
             await send_busy(send, max(math.ceil(retry_after_ns / NS_PER_S), 1))
@@ -134,9 +134,10 @@
                 ),
             )
 
-    def make_call(self, call_id: str) -> api.Call:
+    def call(self, name: str) -> api.Call:
+        # The decision module's call for one request; `name` is its identifier.
         return api.Call(
-            call=call_id,
+            call=name,
             klass=0,
             key="",
             tenant=None,
--- a/rowanmast/net/logs.py
+++ b/rowanmast/net/logs.py
@@ -5,7 +5,7 @@
 import logging
 import sys
 
-EMBEDDED_THREAD_PREFIX = "rowanmast:"  # of an embedded router's thread; its name follows
+EMBEDDED_THREAD_PREFIX = "rowanmast:"  # of the name of an embedded router's thread, before the router's
 STANDARD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
 
 
@@ -38,10 +38,10 @@
 
     def __init__(self, name: str) -> None:
         super().__init__()
-        self.thread_name = EMBEDDED_THREAD_PREFIX + name
+        self.thread = EMBEDDED_THREAD_PREFIX + name  # name of the router's thread
 
     def filter(self, record: logging.LogRecord) -> bool:
-        return record.threadName == self.thread_name
+        return record.threadName == self.thread
 
 
 def configure_logging(name: str) -> None:
--- a/tests/test_embed.py
+++ b/tests/test_embed.py
@@ -243,13 +243,13 @@
     task = loop.create_task(waiting)
     loop.run_until_complete(asyncio.sleep(0.05))
     assert router.counts() == (1, 0)
-    held = next(iter(router.bridge.calls.values()))
+    host_call = next(iter(router.desk.calls.values()))
     loop.close()
     fleet.command("unmute", "s1")
     other = router.submit(make_request("72", dest=2))
     assert isinstance(other.result(1.0), Stands), "another call is affected"
     wait_until(lambda: router.counts()[0] == 0, 1.0)
-    assert held.ticket is None or held.ticket.future.value is not None, "the call was not answered"
+    assert host_call.ticket is None or host_call.ticket.latch.value is not None, "the call was not answered"
     del task, waiting
 
 
@@ -270,10 +270,10 @@
     started = time.monotonic()
     tickets = [router.submit(make_request(str(at), wait_s=0.5)) for at in range(5000)]
     took = time.monotonic() - started
-    answered = [ticket for ticket in tickets if ticket.future.value is not None]
+    answered = [ticket for ticket in tickets if ticket.latch.value is not None]
     assert len(answered) >= 4950 and took < 1.0
     assert all(ticket.result() == Refused(1.0) for ticket in answered[:4000])
-    assert len(router.bridge.calls) <= 50 and len(router.bridge.commands) <= 50
+    assert len(router.desk.calls) <= 50 and len(router.desk.commands) <= 50
     outcomes = [ticket.result(2.0) for ticket in tickets]
     assert all(isinstance(outcome, Refused) for outcome in outcomes)
 
@@ -375,7 +375,10 @@
     ],
 )
 def test_host_exit_with_200_standing_calls(fleet: Fleet, end: str, released: bool) -> None:
-    """Every interpreter exit releases the calls at their switches. SIGKILL leaves no set-up in flight."""
+    """Every interpreter exit releases the calls at their switches; SIGKILL leaves them standing.
+
+    Neither leaves a set-up in flight, which the fixture checks.
+    """
     host, port = fleet.changelog
     code = HOST_SCRIPT.format(tests=str(ROOT / "tests"), host=host, port=port, end=end)
     process = subprocess.Popen(
@@ -435,10 +438,10 @@
     def broken() -> None:
         raise MemoryError("odd")
 
-    monkeypatch.setattr(router.bridge, "end_uncollected", broken)
+    monkeypatch.setattr(router.desk, "end_uncollected", broken)
     assert waiting.result(2.0) == Failed(Failure.FAULT)
     assert isinstance(stands, Stands) and stands.call.wait(1.0).by is EndedBy.CUT
-    router.thread_ended.wait(2)
+    router.ended.wait(2)
     with pytest.raises(RouterClosed):
         router.submit(make_request())
     router.close()
@@ -513,7 +516,7 @@
         router = EmbeddedRouter(make_config(fleet), bounds=Bounds(max_open=400))
         router.open()
         wait_connected(router, 5)
-        finals: list[tuple[float, Ticket]] = []
+        submitted: list[tuple[float, Ticket]] = []
         random = Random(3)
         stopped = threading.Event()
 
@@ -522,7 +525,7 @@
             while not stopped.is_set():
                 wait = random.choice((0.6, 1.0, 3.0))
                 ticket = router.submit(make_request(f"t{index}", dest=1 + index % 5, wait_s=wait))
-                finals.append((time.monotonic() + wait, ticket))
+                submitted.append((time.monotonic() + wait, ticket))
                 index += 1
                 time.sleep(0.004)
 
@@ -556,11 +559,11 @@
         hosting.join()
         stopped.set()
         offering.join()
-        for deadline, ticket in finals:
-            answered = ticket.future.wait(max(deadline + 0.1 - time.monotonic(), 0))
+        for deadline, ticket in submitted:
+            answered = ticket.latch.wait(max(deadline + 0.1 - time.monotonic(), 0))
             late += answered is None
             ticket.cancel()
-        assert len(finals) > 300 and late == 0, "an admitted call was not answered by its deadline"
+        assert len(submitted) > 300 and late == 0, "an admitted call was not answered by its deadline"
         wait_until(lambda: router.counts() == (0, 0))
         report = fleet.report()
         assert report["violations"] == [] and report["in_flight"] == 0
@@ -600,7 +603,7 @@
         for thread in threads:
             thread.start()
         rounds = 0
-        # Few calls are resent in a round.
+        # A round resends few calls or none, so there are more rounds until one was resent.
         while rounds < 8 or (rounds < 60 and not fleet.report()["retries"]):
             rounds += 1
             fleet.command("mute", "s1")
@@ -625,16 +628,16 @@
         with pytest.raises(ValueError, match="'n0' has already joined"):
             EmbeddedRouter(make_config(fleet), share=share).open()
         with EmbeddedRouter(make_config(fleet, "n2"), share=share):
-            assert share.router_names == {"n0", "n2"}
-    assert share.router_names == set()
+            assert share.members == {"n0", "n2"}
+    assert share.members == set()
 
 
 def test_embedded_routers_and_daemon_keep_limit_of_cold_switch(tmp_path: Path) -> None:
     """A cold switch comes up while two embedded routers and a daemon send calls to the fleet.
 
     Together they may send it twice its capacity. A warm switch of this size is sent `before` set-ups per
-    second here and handles twice that with the calls of its own stations. A cold one has 34 % of that
-    capacity, so it may be sent 2 x 0.34 x 2 x `before`.
+    second here; with the calls of its own stations its capacity is twice that. A cold one has 34 % of that
+    capacity, so it may be sent 2 x 0.34 x 2 x `before`. The test allows 10 % more.
     """
     with Fleet([1, 2, 3, 4], hold_s=0.05) as fleet:
         share = ColdShare()
@@ -670,7 +673,7 @@
         worst = max(sum(at <= other < at + 1.0 for other in cold) for at in cold)
         assert before > 20 and worst > 5, "too few set-ups to test the limit"
         assert worst <= 2 * 0.34 * 2 * before * 1.1
-        assert share.router_names == set(), "a closed router is still a member"
+        assert share.members == set(), "a closed router is still a member"
 
 
 async def offer_calls(fleet: Fleet, routers: list[EmbeddedRouter], listen: int) -> None:
--- a/tools/api_reference.py
+++ b/tools/api_reference.py
@@ -13,12 +13,12 @@
 PAGE_PATH = Path(__file__).resolve().parent.parent / "docs" / "api.md"
 PAGE_HEADER = """# API of the library
 
-Made by `make api` from the code; a test holds the two together. How to use it: `embedding.md`.
+Made by `make api` from the code; a test checks that they match. How to use it: `embedding.md`.
 """
 
 
 def signature(target: Any) -> str:
-    """The signature as text, without `self` and quoted annotations; empty if there is none."""
+    """The signature as text, without `self` and quotes around annotations; empty if there is none."""
     try:
         text = str(inspect.signature(target))
     except (ValueError, TypeError):
@@ -36,8 +36,8 @@
     return inspect.cleandoc(inspect.getdoc(target) or "").strip()
 
 
-def is_plain(name: str, member: Any) -> bool:
-    """Whether a member is a public method or property."""
+def is_public_member(name: str, member: Any) -> bool:
+    """Whether a member is a public method or property; class methods are not included."""
     return not name.startswith("_") and (inspect.isfunction(member) or isinstance(member, property))
 
 
@@ -54,7 +54,7 @@
         return [f"### `{name}`{kind}", "", docstring(target), "", f"Values: {values}.", ""]
     lines = [f"### `{name}{signature(target)}`{kind}", "", docstring(target), ""]
     for member_name, member in vars(target).items():
-        if is_plain(member_name, member) and inspect.getdoc(member):
+        if is_public_member(member_name, member) and inspect.getdoc(member):
             call = "" if isinstance(member, property) else signature(member)
             wait = "await " if inspect.iscoroutinefunction(member) else ""
             lines.append(f"- `{wait}{member_name}{call}`: {' '.join(docstring(member).split())}")
