--- a/rowanmast/embed/router.py
+++ b/rowanmast/embed/router.py
@@ -591,7 +591,7 @@
 def transports(router: Router) -> Iterator[asyncio.BaseTransport]:
     """The transports to listed switches and of IAX2, which peers would see as open if a child kept them.
 
-    A connection that is still being opened has no transport yet, so it is missing here (KNOWN-RED.txt).
+    Connections that are still being opened (KNOWN-RED.txt) and retired ones are missing here.
     """
     for link in router.listed_links.values():
         for connection in getattr(link, "connections", ()):
