--- a/tests/standins.py
+++ b/tests/standins.py
@@ -231,7 +231,8 @@
     return api.ExchangeList(api.ListKind.FULL, tuple(list_entry(number) for number in range(count)))
 
 
-# Stand-ins on loopback sockets, written from the text of PROTOCOL and RFC 5456
+# Stand-ins on loopback sockets. They behave as PROTOCOL and RFC 5456 say, and use the router's codecs and its
+# IAX2 endpoint.
 
 
 def free_ports(count: int) -> list[int]:
@@ -260,7 +261,7 @@
         self.checker.attempt_started(self.name, key)
         if len(self.calls) >= self.capacity:
             self.checker.ended_at_switch(key, confirmed=True)
-            self.refuse(call, 34, "cpu_full")
+            self.close_call(call, 34, "cpu_full")
             return
         self.accepted += 1
         self.calls[call] = key
@@ -277,7 +278,7 @@
     def end_call(self, call: Any) -> None:
         if call in self.calls:
             self.checker.released_by_switch(self.calls.pop(call))
-            self.refuse(call, 16, "")
+            self.close_call(call, 16, "")
 
     def closed_by_router(self, call: Any) -> None:
         """The router cancelled the set-up or released the call."""
@@ -286,9 +287,11 @@
             self.checker.ended_at_switch(key)
 
     def answer(self, call: Any, text: str) -> None:
+        """Sends the answer to a set-up."""
         raise NotImplementedError
 
-    def refuse(self, call: Any, cause: int, note: str) -> None:
+    def close_call(self, call: Any, cause: int, note: str) -> None:
+        """Refuses a set-up or releases a call that stands."""
         raise NotImplementedError
 
 
@@ -324,7 +327,7 @@
     def answer(self, call: Any, text: str) -> None:
         self.write("ready", call, {}, text=text)
 
-    def refuse(self, call: Any, cause: int, note: str) -> None:
+    def close_call(self, call: Any, cause: int, note: str) -> None:
         self.write("close", call, {"note": note} if note else {}, code=cause)
 
 
@@ -356,7 +359,7 @@
         self.endpoint.transport.close()
 
     def lose_state(self) -> None:
-        """Drops all calls without a message, as a process does that was reset."""
+        """Drops all calls without a message, like a process that was restarted."""
         for key in self.calls.values():
             self.checker.ended_at_switch(key)
         self.calls.clear()
@@ -371,7 +374,7 @@
         call.send(FrameType.IAX, Iax.ACCEPT, frames.text_elements(Ie.DESCRIPTION, text))
         call.send(FrameType.CONTROL, Control.ANSWER)
 
-    def refuse(self, call: Any, cause: int, note: str) -> None:
+    def close_call(self, call: Any, cause: int, note: str) -> None:
         call.end(Iax.HANGUP, frames.cause_elements(cause, note))
 
 
@@ -409,8 +412,9 @@
 
     def __init__(self, checker: AssertingRuleChecker, port: int) -> None:
         self.checker, self.port = checker, port
-        self.answers: dict[str, asyncio.Future[tuple[str, str]]] = {}  # by number called: (verdict, details)
-        self.end_events: dict[str, asyncio.Event] = {}
+        # By number called: (verdict, details). The verdict is "answer", "lost", or a status or cause code.
+        self.answers: dict[str, asyncio.Future[tuple[str, str]]] = {}
+        self.end_events: dict[str, asyncio.Event] = {}  # by number called: set by a release
 
     def dial(self, key: str, left_s: float = 3.0, route: str = "dest:1;width:1;via:-1") -> None:
         self.answers[key] = asyncio.get_running_loop().create_future()
@@ -430,6 +434,7 @@
         return await asyncio.wait_for(self.answers[key], 10)
 
     def invite(self, key: str, left_ms: int, route: str) -> None:
+        """Sends the set-up of a call."""
         raise NotImplementedError
 
 
@@ -504,7 +509,7 @@
     def __init__(self, port: int) -> None:
         self.port, self.events = port, []  # type: ignore[var-annotated]
         self.requested_since: list[int] = []  # the `since` of each request
-        self.pending_request: tuple[int, Any] | None = None
+        self.pending_request: tuple[int, Any] | None = None  # (since, transport)
 
     async def start(self) -> None:
         self.server = await asyncio.get_running_loop().create_server(lambda: self, "127.0.0.1", self.port)
@@ -551,8 +556,8 @@
     def __init__(self, own_exchange: int = 0) -> None:
         self.own_exchange = own_exchange
         self.checker = AssertingRuleChecker(time.monotonic, 0.2, tolerance_s=0.07)
-        self.sip_port, self.iax_port, self.log_port, *self.spare_ports = free_ports(7)
-        self.change_log = ChangeLogServer(self.log_port)
+        self.sip_port, self.iax_port, self.change_log_port, *self.spare_ports = free_ports(7)
+        self.change_log = ChangeLogServer(self.change_log_port)
         self.switches: list[JsonSwitch | IaxSwitch] = []
         self.pair: PairConfig | None = None
         self.addresses: dict[str, list[order.Endpoint]] = {}  # of switches with several addresses
@@ -579,7 +584,7 @@
             "listen": f"127.0.0.1:{self.sip_port}",
             "seed": "7",
             "limits": {"sockets": 200},
-            "changelog": f"127.0.0.1:{self.log_port}",
+            "changelog": f"127.0.0.1:{self.change_log_port}",
             "known": {"seq": 0, "results": []},
             "settings": settings_document(self.settings, ["plain", "dear", "unsafe", "keyed"]),
         }
@@ -587,16 +592,22 @@
     async def __aenter__(self) -> LocalNetwork:
         for server in (self.change_log, *self.switches):
             await server.start()
-        self.change_log.add(True, *(host_entry(one.name, one.number, one.port) for one in self.switches))
-        listed = {one.name: ("127.0.0.1", one.port) for one in self.switches if isinstance(one, IaxSwitch)}
+        self.change_log.add(
+            True, *(host_entry(switch.name, switch.number, switch.port) for switch in self.switches)
+        )
+        listed = {
+            switch.name: ("127.0.0.1", switch.port)
+            for switch in self.switches
+            if isinstance(switch, IaxSwitch)
+        }
         config = check_config(self.document(), Reader())
         assert config.settings == self.settings
         await self.start(config, IaxConfig(("127.0.0.1", self.iax_port), listed, self.pair))
-        await wait_until(lambda: all(self.router.ledger.is_up(one.name) for one in self.switches))
+        await wait_until(lambda: all(self.router.ledger.is_up(switch.name) for switch in self.switches))
         await wait_until(
             lambda: all(getattr(link, "connections", 1) for link in self.router.listed_links.values())
         )
-        await wait_until(lambda: all(getattr(one, "transports", 1) for one in self.switches))
+        await wait_until(lambda: all(getattr(switch, "transports", 1) for switch in self.switches))
         return self
 
     async def start(self, config: Config, iax: IaxConfig | None = None) -> None:
