--- a/rowanmast/app/daemon.py
+++ b/rowanmast/app/daemon.py
@@ -44,15 +44,15 @@
         preference: Preference | None = None,
     ) -> None:
         """`addresses` lists, by switch name, the addresses to use instead of the change log's."""
-        self.callers = SipFront(self, config.sockets // 2, now_us)
-        super().__init__(config, reader, loop, orphan_front=self.callers)
+        self.sip_front = SipFront(self, config.sockets // 2, now_us)
+        super().__init__(config, reader, loop, orphan_front=self.sip_front)
         if addresses:
             self.add_link_factory(MultiAddressLinks(self, addresses, preference or Preference()).make_link)
         self.iax = None if iax is None else IaxComponent(self, iax)
         if self.iax is not None:
             self.add_components(self.iax)
             self.add_link_factory(self.iax.make_link)
-        self.add_components(SipComponent(self.callers, config.listen))
+        self.add_components(SipComponent(self.sip_front, config.listen))
 
     @property
     def pair(self) -> vrrp.VrrpEndpoint | None:
--- a/rowanmast/core/ledger.py
+++ b/rowanmast/core/ledger.py
@@ -68,7 +68,7 @@
     current_attempt: Attempt | None = None
     attempt_count: int = 0
     next_attempt_at: int = 0  # earliest time, while the release of the last attempt is awaited
-    answered: bool = False
+    has_final_answer: bool = False
     standing_attempt: Attempt | None = None
     standing_since: int = 0
 
@@ -173,7 +173,7 @@
 
     def unanswered_count(self) -> int:
         """The number of calls without a final answer."""
-        return sum(not record.answered for record in self.records.values())
+        return sum(not record.has_final_answer for record in self.records.values())
 
     def may_send(self, attempt: Attempt) -> bool:
         """Checks an attempt just before its bytes are written.
@@ -236,7 +236,7 @@
     def end_expired_call(self, record: CallRecord) -> None:
         """Fails a call past its deadline if the module has not answered it by now, as it should have."""
         call = record.offer.call
-        if self.records.get(call) is record and not record.answered:
+        if self.records.get(call) is record and not record.has_final_answer:
             log.error("late_answer", extra={"call": call})
             self.events.append(api.CallerHungUp(call))
             self.finish_unanswered(record, Failure.GIVEN_UP)
@@ -253,7 +253,7 @@
                 record = self.records.get(timer.call)
                 return record is not None and record.current_attempt is timer
             case CallRecord():
-                return not timer.answered
+                return not timer.has_final_answer
             case _:
                 return True
 
@@ -276,7 +276,7 @@
             call = getattr(item, "call", "")
             log.exception("call_fault", extra={"what": type(item).__name__, "call": call})
             record = self.records.get(call)
-            if record is not None and not record.answered:
+            if record is not None and not record.has_final_answer:
                 self.events.append(api.CallerHungUp(call))
                 self.finish_unanswered(record, Failure.FAULT)
             return None
@@ -284,7 +284,7 @@
     def end_unanswered(self) -> None:
         """Refuses every unanswered call, or fails it if the caller could do harm by trying again."""
         for record in list(self.records.values()):
-            if record.answered:
+            if record.has_final_answer:
                 continue
             call_class = self.settings.classes[self.classes[record.offer.klass]]
             may_retry = call_class.idempotency is api.Idempotency.SAFE or record.attempt_count == 0
@@ -327,7 +327,7 @@
             self.link(record.standing_attempt.exchange).release(call, NORMAL_CLEARING)
             ending = EndReason.CALLER_CANCELLED
             self.end_call(record, api.Outcome.CALLED_OFF, NO_REPORT, NORMAL_CLEARING, ending)
-        elif not record.answered:
+        elif not record.has_final_answer:
             self.events.append(api.CallerHungUp(call))
             self.finish_unanswered(record, Failure.CANCELLED)
 
@@ -358,7 +358,7 @@
         record.current_attempt, record.standing_attempt, record.standing_since = None, attempt, self.now
         delay_ns = (self.now - attempt.sent_at) * NS_PER_US
         self.events.append(api.CallAnswered(item.call, attempt.number, attempt.exchange, delay_ns))
-        self.answer_call(record, item.text)
+        self.give_final_answer(record, item.text)
 
     def on_call_ended(self, item: CallEnded) -> None:
         record = self.records.get(item.call)
@@ -434,7 +434,7 @@
         if outcome in UNCONFIRMED_OUTCOMES:
             record.next_attempt_at = self.now + self.settings.release_guard_ns // NS_PER_US
             self.awaiting_release.append(record)
-        self.report_attempt_ended(attempt, outcome, cause, report, record.answered)
+        self.report_attempt_ended(attempt, outcome, cause, report, record.has_final_answer)
 
     def report_attempt_ended(
         self,
@@ -459,11 +459,11 @@
             )
         )
 
-    def answer_call(self, record: CallRecord, answer: str | int | Failure) -> None:
+    def give_final_answer(self, record: CallRecord, answer: str | int | Failure) -> None:
         """Gives the final answer, once: a description, a retry-after in microseconds, or a failure."""
-        if record.answered:
+        if record.has_final_answer:
             return
-        record.answered = True
+        record.has_final_answer = True
         call, front = record.offer.call, record.offer.front
         match answer:
             case str():
@@ -542,7 +542,7 @@
 
     def finish_unanswered(self, record: CallRecord, answer: int | Failure) -> None:
         """Gives a call that does not stand its final answer and cancels its current attempt."""
-        self.answer_call(record, answer)
+        self.give_final_answer(record, answer)
         if record.current_attempt is not None:
             self.cancel_attempt(record, api.Outcome.CALLED_OFF)
 
@@ -565,13 +565,15 @@
         record.attempt_count += 1
         rule = self.violated_rule(record, attempt)
         if rule is not None:
-            if not record.answered:  # expected if the caller hung up in the same turn
+            if not record.has_final_answer:  # expected if the caller hung up in the same turn
                 log.warning("set_up_held_back", extra={"call": offer.call, "why": rule})
-            self.report_attempt_ended(attempt, api.Outcome.NOT_SENT, None, NO_REPORT, record.answered)
+            self.report_attempt_ended(attempt, api.Outcome.NOT_SENT, None, NO_REPORT, record.has_final_answer)
             return
-        if not self.within_cold_share(action.exchange):  # reported as "no circuit": another route may be free
-            cause = api.Cause.NO_CIRCUIT
-            self.report_attempt_ended(attempt, api.Outcome.NOT_SENT, cause, NO_REPORT, record.answered)
+        if not self.try_acquire_cold_share(action.exchange):
+            cause = api.Cause.NO_CIRCUIT  # the module may then try another route
+            self.report_attempt_ended(
+                attempt, api.Outcome.NOT_SENT, cause, NO_REPORT, record.has_final_answer
+            )
             return
         record.current_attempt = attempt
         self.schedule(deadline, attempt)
@@ -579,7 +581,7 @@
 
     def violated_rule(self, record: CallRecord, attempt: Attempt) -> str | None:
         """The rule that forbids this attempt, by the name used in the log; None if it may start."""
-        if record.answered:
+        if record.has_final_answer:
             return "answered"
         if record.current_attempt is not None:
             return "attempt_out"
@@ -596,7 +598,7 @@
             return "transit_elsewhere"
         return None
 
-    def within_cold_share(self, exchange: str) -> bool:
+    def try_acquire_cold_share(self, exchange: str) -> bool:
         """Takes one set-up to the switch from the share of this process; False if the share is used up.
 
         The share's rate is per other exchange: the listed ones without one, the router's own.
--- a/rowanmast/liveness/machine.py
+++ b/rowanmast/liveness/machine.py
@@ -216,11 +216,11 @@
         self.schedule_check(now, 0)
         return actions
 
-    def schedule_check(self, now: int, at_least: int) -> None:
-        """Sets the time of the next check, no sooner than `at_least` from now."""
+    def schedule_check(self, now: int, min_delay: int) -> None:
+        """Sets the time of the next check, no sooner than `min_delay` from now."""
         times = [self.next_event_at(one) for one in self.incarnations if one.calls]
         latest = now + self.probe_interval(MAX_CHECK_INTERVAL_US)
-        self.next_check_at = max(min(*times, latest), now + at_least) if times else None
+        self.next_check_at = max(min(*times, latest), now + min_delay) if times else None
 
     def probe_interval(self, regular: int) -> int:
         """The interval to use: `regular`, or a shorter one for a removed switch."""
