--- a/rowanmast/core/ledger.py
+++ b/rowanmast/core/ledger.py
@@ -3,7 +3,7 @@
 Every call gets exactly one final answer, and at most one attempt of a call is in flight at a time. In each
 turn of the event loop the ledger processes the inputs gathered since the last one, passes the resulting
 events one by one to the decision module (`CallAgent`) and executes the actions that it returned for them.
-Events that arise meanwhile are passed on in a further round. The rules are enforced here, independently
+Events that these actions cause are passed on in a further round. The rules are enforced here, independently
 of what the module decides and of the protocol a call uses.
 """
 
@@ -43,14 +43,17 @@
 
 NS_PER_US = 1000  # the ledger counts microseconds, the decision module nanoseconds
 NULL_LINK = NullLink()
-# The next purge of stale timers comes when the heap exceeds twice its size after the last one, plus this.
+# Stale timers are purged when the heap exceeds twice the size that the last purge left, plus this.
 STALE_TIMER_SLACK = 64
-ENDED_CALL_RETENTION_US = 10_000_000  # a switch's release may cross the router's, or arrive twice, until then
-# If the output of a turn is flushed later than this, the waits that start with it are extended by the delay.
-# Shorter delays are covered by the release margin of the decision module (50 ms).
+# How long the id of an ended call is kept. If the switch's release crosses the router's own or is repeated
+# within this time, it is not taken for the release of a call that an earlier run left standing.
+ENDED_CALL_RETENTION_US = 10_000_000
+# If the output of a turn is sent later than this after the turn's start, the waits that start in the turn are
+# extended by the delay. Shorter delays are covered by the release margin of the decision module (50 ms).
 MAX_SEND_LAG_US = 25_000
 SHUTDOWN_RETRY_AFTER_US = 1_000_000  # sent with calls that are refused because the router shuts down
-# The switch may still be working on the call: its release must be awaited before the next attempt.
+# Outcomes after which the switch may still be working on the call: the release guard time has to pass before
+# the next attempt.
 UNCONFIRMED_OUTCOMES = (api.Outcome.TIMED_OUT, api.Outcome.CUT, api.Outcome.CALLED_OFF)
 
 Item = TypeVar("Item")
@@ -67,12 +70,13 @@
     deadline: int
     current_attempt: Attempt | None = None
     attempt_count: int = 0
-    next_attempt_at: int = 0  # earliest time, while the release of the last attempt is awaited
-    has_final_answer: bool = False
-    standing_attempt: Attempt | None = None
+    next_attempt_at: int = 0  # end of the release guard time; no attempt may start before
+    has_final_answer: bool = False  # set up, refused or failed
+    standing_attempt: Attempt | None = None  # the one that set up the call, while the call stands
     standing_since: int = 0
 
 
+# What has expired: the time limit of an attempt, a timer of the decision module or the deadline of a call.
 Timer = Attempt | api.TimerExpired | CallRecord
 
 
@@ -104,7 +108,7 @@
         self.ended_calls: list[str] = []  # calls whose records are deleted at the end of the turn
         self.recently_ended: OrderedDict[str, int] = OrderedDict()  # call id -> time of its end
         self.now = 0
-        self.awaiting_release: list[CallRecord] = []  # calls whose wait for a release starts in this turn
+        self.awaiting_release: list[CallRecord] = []  # calls whose release guard time starts in this turn
         self.totals = Totals()
         self.turn_start_serial = 0  # timers with a higher serial number were added in this turn
 
@@ -145,10 +149,11 @@
                 self.run_isolated(self.execute, action)
 
     def output_flushed(self, now: int) -> None:
-        """The output of the last turn has been sent by now; if that is late, waits for a release start now.
+        """The output of the last turn has been sent by now; if that is late, release guard times start now.
 
-        All timers that the module set in this turn are shifted as well, as they are not told apart.
-        A host application that holds the interpreter may delay a turn by hundreds of milliseconds.
+        All timers that the module set in that turn are postponed as well, as the ledger does not know which
+        of them wait for a release. A host application that holds the interpreter may delay the output by
+        hundreds of milliseconds.
         """
         lag = now - self.now
         if lag > MAX_SEND_LAG_US:
@@ -176,9 +181,9 @@
         return sum(not record.has_final_answer for record in self.records.values())
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Checks an attempt just before its bytes are written.
+        """Whether a queued attempt, or one to be retransmitted, may still be sent.
 
-        Since it was started it may have been cancelled, or its switch may have begun to drain.
+        It may have been cancelled in the meantime, or its switch may have begun to drain.
         """
         record = self.records.get(attempt.call)
         return record is not None and record.current_attempt is attempt and self.is_up(attempt.exchange)
@@ -242,7 +247,10 @@
             self.finish_unanswered(record, Failure.GIVEN_UP)
 
     def purge_stale_timers(self) -> None:
-        """Deletes timers that are no longer needed: a call with a deadline in an hour may end at once."""
+        """Deletes timers that are no longer needed.
+
+        Otherwise the timer of a call that has ended would stay in the heap until the call's deadline.
+        """
         self.timers = [entry for entry in self.timers if self.is_timer_live(entry[2])]
         heapq.heapify(self.timers)
         self.timers_after_purge = len(self.timers)
@@ -267,8 +275,8 @@
     def run_isolated(self, step: Callable[[Item], Result], item: Item) -> Result | None:
         """Runs one step; if it raises, the exception is logged and the turn continues.
 
-        The call that the item names in its field `call` fails, unless it has its answer. A CallRecord has no
-        such field, so no call fails for it and the log line names none.
+        The call that the item names in its field `call` fails, unless it has its final answer. A CallRecord
+        has no such field, so no call fails for it and the log line names none.
         """
         try:
             return step(item)
@@ -322,7 +330,7 @@
         record = self.records.get(call)
         if record is None:
             return
-        # The caller cancelled as the answer came, and gets a release, or was lost while the call stands.
+        # The call stands if the cancellation crossed the answer, or if a caller was lost during the call.
         if record.standing_attempt is not None:
             self.link(record.standing_attempt.exchange).release(call, NORMAL_CLEARING)
             ending = EndReason.CALLER_CANCELLED
@@ -384,7 +392,7 @@
         self.orphan_front.release(item.call, NORMAL_CLEARING if completed else TEMPORARY_FAILURE)
 
     def on_list(self, item: api.ExchangeList) -> None:
-        """Takes over a list or its changes. The change log reader posts no list of kind FAILED.
+        """Applies a full list or changes to it. The change log reader posts no list of kind FAILED.
 
         Such a list would empty `listed` and cut all attempts.
         """
@@ -460,7 +468,7 @@
         )
 
     def give_final_answer(self, record: CallRecord, answer: str | int | Failure) -> None:
-        """Gives the final answer, once: a description, a retry-after in microseconds, or a failure."""
+        """Gives the final answer, once: the switch's text, a retry-after in microseconds, or a failure."""
         if record.has_final_answer:
             return
         record.has_final_answer = True
@@ -541,7 +549,7 @@
                 pass  # the router follows the change log anyway
 
     def finish_unanswered(self, record: CallRecord, answer: int | Failure) -> None:
-        """Gives a call that does not stand its final answer and cancels its current attempt."""
+        """Refuses or fails a call unless it has its final answer, and cancels its current attempt."""
         self.give_final_answer(record, answer)
         if record.current_attempt is not None:
             self.cancel_attempt(record, api.Outcome.CALLED_OFF)
@@ -599,9 +607,10 @@
         return None
 
     def try_acquire_cold_share(self, exchange: str) -> bool:
-        """Takes one set-up to the switch from the share of this process; False if the share is used up.
+        """Whether the routers of this process may together send this set-up; if so, it is counted.
 
-        The share's rate is per other exchange: the listed ones without one, the router's own.
+        It limits set-ups to cold switches only. The other exchanges are the listed ones without the router's
+        own.
         """
         if self.cold_share is None:
             return True
@@ -609,8 +618,8 @@
 
 
 def with_release_margin(settings: api.Settings, margin_us: int) -> api.Settings:
-    """The settings for the decision module, with a longer wait for a release than the ledger enforces.
+    """The settings for the decision module, with a longer release guard time than the ledger enforces.
 
-    The ledger's wait counts from when the last byte was sent, the module's from the start of the turn.
+    The guard time must count from when the output was sent, but the module counts from the start of the turn.
     """
     return replace(settings, release_guard_ns=settings.release_guard_ns + margin_us * NS_PER_US)
--- a/rowanmast/core/ports.py
+++ b/rowanmast/core/ports.py
@@ -18,7 +18,7 @@
 class Failure(Enum):
     """Why a call failed rather than being refused with a retry-after."""
 
-    GIVEN_UP = "given up"  # not set up in time, and a retry by the caller could do harm
+    GIVEN_UP = "given up"  # not set up in time or before a shutdown; a retry by the caller could do harm
     CANCELLED = "cancelled"  # the caller cancelled the set-up
     FAULT = "fault"  # the router raised an exception while it handled this call
     UNFIT = "unfit"  # the call's class is unknown, or its id is in use
@@ -29,19 +29,20 @@
 
     SWITCH_RELEASED = "switch_released"
     CALLER_RELEASED = "caller_released"
-    CALLER_CANCELLED = "caller_cancelled"  # the caller's CANCEL crossed the answer
+    CALLER_CANCELLED = "caller_cancelled"  # its cancellation crossed the answer, or an IAX2 caller was lost
     SWITCH_DOWN = "switch_down"  # a refused connection proves that the switch's process is dead
     SWITCH_LOST = "switch_lost"  # nothing was received from the switch's process until the lease expired
-    SWITCH_REMOVED = "switch_removed"  # discovery no longer lists the switch, and its connections are lost
+    # Discovery no longer lists the switch and its connections are lost, or lists it on another machine.
+    SWITCH_REMOVED = "switch_removed"
     ROUTER_STOPPED = "router_stopped"
 
 
 class Front(Protocol):
     """A front end that accepts calls over one protocol.
 
-    Each call gets one final answer: `answer` with the switch's description, `refuse` with the time after
-    which the caller may try again, or `fail`. `release` ends a standing call towards its caller; causes are
-    those of Q.850.
+    Each call gets one final answer: `answer` with the text that the switch returned, `refuse` with the time
+    after which the caller may try again, or `fail`. `release` ends a standing call towards its caller; causes
+    are those of Q.850.
     """
 
     survives_restart: bool  # standing calls outlive the router's process, and its next run can release them
@@ -64,23 +65,25 @@
     exchange: str
     klass: str
     key: str  # the number called
-    text: str
+    text: str  # the caller's description of the call, passed on unchanged
     sent_at: int
-    deadline: int
+    deadline: int  # until which the switch's answer is awaited
 
 
 class SwitchLink(Protocol):
     """The connection to one switch, over any protocol.
 
     `set_up` starts an attempt, whose result is posted to the inbox unless `cancel` ends it before. `release`
-    ends a standing call at the switch. `probe` measures the switch's response time, which is posted as well.
+    ends a standing call at the switch. `probe` asks the switch for its load; the report and the response time
+    are posted as well.
     """
 
     @property
     def survives_restart(self) -> bool:
         """Whether standing calls outlive the router's process.
 
-        False also while the switch is silent, as the next run would not hear from it either.
+        False also if a switch with standing calls has sent nothing since the last `verify_alive` of its link,
+        as the next run would not hear from it either.
         """
 
     def set_up(self, attempt: Attempt) -> None: ...
@@ -114,20 +117,20 @@
 
 
 class SendGate(Protocol):
-    """The ledger's check of an attempt, which links make just before they write it."""
+    """The ledger's check whether a queued attempt, or one to be retransmitted, may still be sent."""
 
     def may_send(self, attempt: Attempt) -> bool: ...
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """The routing data of a call, as in the X-Route header."""
+    """The routing data of a call, as in the headers X-Route and X-Redial."""
 
     dest: int  # number of the destination exchange
-    width: int | None
-    via: int | None  # advised tandem or pool; in transit, where the call comes from
-    redialled: bool
-    transit: bool
+    width: int | None  # circuits that the call needs; None: those of its class
+    via: int | None  # number of the advised tandem or pool; in transit: of the exchange it comes from
+    redialled: bool  # the caller has dialled before, without success
+    transit: bool  # sent by another router, to be passed on to the destination
     again: bool  # the call was cut and is set up once more
 
 
@@ -140,13 +143,13 @@
     klass: str
     key: str
     text: str
-    remaining_us: int
+    remaining_us: int  # time left until the final answer is due
     route: Route
 
 
 @dataclass(frozen=True, slots=True)
 class Cancelled:
-    """The caller cancelled its set-up, or the connection of the set-up was lost."""
+    """The caller cancelled its set-up, or was lost. If the call stands already, it ends as well."""
 
     call: str
 
--- a/rowanmast/core/totals.py
+++ b/rowanmast/core/totals.py
@@ -16,7 +16,7 @@
         self.counts[name] += 1
 
     def changed_totals(self) -> dict[str, int]:
-        """All totals, or an empty dict if none has changed since the last call."""
+        """All totals, or an empty dict if none has changed since they were last returned."""
         if self.counts == self.last_reported:
             return {}
         self.last_reported = self.counts.copy()
