--- a/rowanmast/__main__.py
+++ b/rowanmast/__main__.py
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Runs the daemon without loading the command line if there are no arguments, as on the platform."""
+    """Runs the daemon if there are no arguments, as on the platform, without loading the command line."""
     if len(sys.argv) > 1:
         from rowanmast.cli.main import app
 
--- a/rowanmast/app/components.py
+++ b/rowanmast/app/components.py
@@ -23,7 +23,7 @@
 
 
 class MultiAddressLinks:
-    """Creates the links to switches for which the settings list addresses of their own."""
+    """Creates links to the addresses that the settings list for a switch instead of the change log's one."""
 
     def __init__(
         self, router: Router, addresses: Mapping[str, Sequence[order.Endpoint]], preference: order.Preference
--- a/rowanmast/app/daemon.py
+++ b/rowanmast/app/daemon.py
@@ -43,7 +43,10 @@
         addresses: Mapping[str, Sequence[Endpoint]] | None = None,
         preference: Preference | None = None,
     ) -> None:
-        """`addresses` lists, by switch name, the addresses to use instead of the change log's."""
+        """`addresses` lists, by switch name, the addresses to use instead of the change log's.
+
+        They are tried in the order of `preference`.
+        """
         self.sip_front = SipFront(self, config.sockets // 2, now_us)
         super().__init__(config, reader, loop, orphan_front=self.sip_front)
         if addresses:
@@ -77,7 +80,7 @@
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     def reload(self) -> None:
-        """Reads the configuration again and switches to its change log; other changes need a restart."""
+        """Reads the configuration again and follows its change log; other changes need a restart."""
         try:
             config = read_config(self.config.path, self.reader)
         except ConfigError as error:
--- a/rowanmast/app/router.py
+++ b/rowanmast/app/router.py
@@ -24,7 +24,8 @@
 
 RELEASE_MARGIN_US = 50_000  # by which the decision module waits longer for a release than the ledger
 SHUTDOWN_ACCEPT_S = 0.7  # after SIGTERM, new calls are accepted for this long
-# After SHUTDOWN_ACCEPT_S, SIGKILL comes no sooner than this, or than the longest deadline if that is shorter.
+# SIGKILL comes no sooner than SHUTDOWN_ACCEPT_S plus the longest deadline of a class, of which at most this
+# much counts.
 MAX_DEADLINE_WAIT_S = 3.0
 # Times before the earliest SIGKILL at which the steps of the shutdown start:
 VERIFY_MARGIN_S = 0.4  # probe the switches with standing calls
@@ -46,7 +47,7 @@
         """Starts to listen. Raises OSError if it can't."""
 
     def begin_shutdown(self) -> None:
-        """Tells callers to use another router, but still accepts calls."""
+        """Tells callers to use another router; calls may still be accepted."""
 
     def refuse_new_calls(self) -> None:
         """Refuses all new calls from now on."""
@@ -100,7 +101,10 @@
         self.components += components
 
     def add_link_factory(self, factory: LinkFactory) -> None:
-        """Adds a factory that is asked before the existing ones; it returns None for switches of others."""
+        """Adds a factory that is asked before the existing ones.
+
+        It returns None for switches that it does not support.
+        """
         self.link_factories.insert(0, factory)
 
     def post(self, item: Input) -> None:
@@ -149,7 +153,7 @@
         self.ready.set()
 
     def log_totals(self) -> None:
-        """Logs the totals if they have changed since the last time, and schedules the next call."""
+        """Logs the totals if they have changed since the last time, and schedules the next check."""
         counts = self.ledger.totals.changed_totals()
         if counts:
             log.info("totals", extra={**counts, "open": len(self.ledger.records)})
@@ -164,8 +168,9 @@
     async def shut_down(self) -> None:
         """Accepts calls a little longer, answers all calls and waits for standing ones to end.
 
-        It finishes before SIGKILL may follow (PROTOCOL, "Figures"). Calls that still stand are left standing:
-        the next run at this address receives their releases and notifies the callers.
+        It finishes before SIGKILL may follow (PROTOCOL, "Figures"). Calls that still stand then are left
+        standing if they can outlive the process: the next run at this address receives their releases and
+        notifies the callers.
         """
         log.info(
             "stopping", extra={"owed": self.ledger.unanswered_count(), "calls": len(self.ledger.records)}
--- a/rowanmast/app/switches.py
+++ b/rowanmast/app/switches.py
@@ -28,7 +28,7 @@
         """Discovery lists the removed switch again while calls still stand there."""
 
     def abandon(self) -> None:
-        """The switch has moved to another machine: ends the calls that stand here and closes the link."""
+        """The switch has moved to another machine: ends the calls on this link and closes it."""
 
     def verify_alive(self) -> None:
         """Probes the switch, so that `survives_restart` is true only if it answers."""
@@ -60,6 +60,7 @@
                 self.add(entry.exchange, address)
 
     def add(self, exchange: str, address: Address) -> None:
+        """Makes the link to a listed switch; an existing one is kept unless its address has changed."""
         known = self.listed.get(exchange)
         if known is not None and known.address == address:
             return
@@ -73,6 +74,7 @@
         self.by_exchange[exchange] = self.listed[exchange] = self.make_link(exchange, address)
 
     def remove(self, exchange: str) -> None:
+        """Keeps the link to a switch that is no longer listed until its standing calls have ended."""
         link = self.listed.pop(exchange, None)
         if link is not None:
             self.removed[exchange] = link
--- a/rowanmast/config.py
+++ b/rowanmast/config.py
@@ -30,11 +30,11 @@
     known: list[Change]  # entries of the change log known at the start
     settings: api.Settings
     classes: dict[str, int]  # class name -> index in `settings.classes`
-    connect_s: float  # time limit of a connect to a switch
+    connect_s: float  # time limit of a connect to a switch; 0.5 if it is not configured
 
 
 def read_config(path: str | None, reader: Reader) -> Config:
-    """Reads and checks a configuration file. Raises ConfigError with one line that names the file."""
+    """Reads and checks a configuration file. Raises ConfigError with one line, which names a given file."""
     if not path:
         raise ConfigError("PROXY_CONFIG is not set")
     try:
--- a/rowanmast/core/ledger.py
+++ b/rowanmast/core/ledger.py
@@ -3,7 +3,7 @@
 Every call gets exactly one final answer, and at most one attempt of a call is in flight at a time. In each
 turn of the event loop the ledger processes the inputs gathered since the last one, passes the resulting
 events one by one to the decision module (`CallAgent`) and executes the actions that it returned for them.
-Events that these actions cause are passed on in a further round. The rules are enforced here, independently
+Events that arise meanwhile are passed on in a further round. The rules are enforced here, independently
 of what the module decides and of the protocol a call uses.
 """
 
@@ -609,8 +609,8 @@
     def try_acquire_cold_share(self, exchange: str) -> bool:
         """Whether the routers of this process may together send this set-up; if so, it is counted.
 
-        It limits set-ups to cold switches only. The other exchanges are the listed ones without the router's
-        own.
+        Only set-ups to cold switches are limited. The last argument is the number of other exchanges: the
+        listed ones without the router's own.
         """
         if self.cold_share is None:
             return True
--- a/rowanmast/core/ports.py
+++ b/rowanmast/core/ports.py
@@ -66,7 +66,7 @@
     klass: str
     key: str  # the number called
     text: str  # the caller's description of the call, passed on unchanged
-    sent_at: int
+    sent_at: int  # when the ledger started it; a link without an open connection sends it later
     deadline: int  # until which the switch's answer is awaited
 
 
--- a/rowanmast/liveness/machine.py
+++ b/rowanmast/liveness/machine.py
@@ -1,13 +1,14 @@
 """Leases of the calls that stand at a switch, renewed by any data from its process. No I/O, no clock.
 
 A switch that has vanished closes no connection, and a new process may answer at its address. Each call
-therefore belongs to an incarnation of the switch: one process, as far as its connections are known to lead
-to the same one. Any data received from an incarnation renews the lease of all its calls. If it is silent,
-the connections that carry calls are probed. When a lease expires, its calls are ended: callers must be
-notified within 8 s of the end of a call whose switch can send no release (PROTOCOL, "The rules on sockets").
-
-Two connections lead to the same process if data arrives on the older one after the younger one came up, or
-if one of them brings the end of a call that was set up on the other. All times are microseconds.
+therefore belongs to an incarnation of the switch: one process, with the connections that are known to lead
+to it. Any data received from an incarnation renews the lease of all its calls. If it is silent, the
+connections that carry calls are probed. When a lease expires, its calls are ended: callers must be notified
+within 8 s of the end of a call whose switch can send no release (PROTOCOL, "The rules on sockets").
+
+Two connections lead to the same process if data that arrives on the older one was sent after the younger one
+was opened, or if one of them brings the end of a call that was set up on the other. All times are
+microseconds.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 # Once discovery has removed the switch, silent connections are probed and calls are given up sooner.
 REMOVED_PROBE_IDLE_US = 500_000
 REMOVED_LEASE_US = 2_500_000
-REMOVED_GRACE_US = 1_000_000  # least time after the removal in which the switch may answer a probe
-LOSS_DETECTION_US = 5_000_000  # a connection's loss is detected at most this long after its last data
-MAX_DELIVERY_DELAY_US = 1_000_000  # data that arrives this long after an event was sent after it
-# A check that runs later than this was held up by the router itself. The data that has arrived meanwhile is
-# read first, and the check is made after STALL_RECHECK_US.
+REMOVED_GRACE_US = 1_000_000  # minimum time after the removal in which the switch may answer a probe
+LOSS_DETECTION_US = 5_000_000  # TCP detects a lost connection at most this long after its peer's last segment
+MAX_DELIVERY_DELAY_US = 1_000_000  # data is taken to arrive at most this long after it was sent
+# A check that runs more than this late was held up by the router itself. The data that has arrived meanwhile
+# is read first, and the check is made after STALL_RECHECK_US.
 STALL_THRESHOLD_US = 500_000
 STALL_RECHECK_US = 250_000
 MIN_CHECK_INTERVAL_US = 10_000
@@ -97,12 +98,15 @@
     """The incarnations of one switch. Connections are identified by numbers that are never reused."""
 
     def __init__(self, may_probe: bool) -> None:
-        """Without `may_probe`, silence on an open connection proves nothing: only lost ones end leases."""
+        """Without `may_probe`, silence on an open connection proves nothing.
+
+        The calls of an incarnation are then given up only after all its connections are lost.
+        """
         self.may_probe = may_probe
-        self.removed_at: int | None = None  # by discovery
+        self.removed_at: int | None = None  # when discovery removed the switch; None while it is listed
         self.connections: dict[int, ConnectionState] = {}
         self.incarnations: list[Incarnation] = []  # those with connections or calls
-        self.by_call: dict[str, Incarnation] = {}
+        self.by_call: dict[str, Incarnation] = {}  # the incarnation at which each call stands
         self.next_check_at: int | None = None  # when `check` has to be called next
 
     # Events
@@ -254,9 +258,9 @@
                 yield from self.call_connections_of(incarnation)
 
     def call_connections_of(self, incarnation: Incarnation) -> Iterable[int]:
-        """The connections on which calls were set up, or all connections if one of these is lost.
+        """The connections on which releases of the calls may arrive.
 
-        Releases of calls may arrive there.
+        These are the ones on which calls were set up, or all connections once one of those has been lost.
         """
         connections = incarnation.call_counts.keys()
         return connections if connections <= incarnation.connections else incarnation.connections
@@ -264,7 +268,7 @@
     def probe_incarnation(self, now: int, incarnation: Incarnation) -> list[LivenessAction]:
         """Probes one connection first, as probes have a cost, and the others once it has not answered.
 
-        A connection that is silent for longer is probed by itself.
+        A connection that is silent for CONNECTION_PROBE_IDLE_US is probed even if others receive data.
         """
         candidates = sorted(
             self.call_connections_of(incarnation), key=lambda one: -self.connections[one].heard_at
@@ -280,7 +284,8 @@
             elif not probed:
                 to_probe = to_probe or candidates[:1]
         for connection in (*unresponsive, *to_probe):
-            self.connections[connection].probed_at = now  # an unresponsive one that is kept is reported again
+            # An unresponsive one is reported again after PROBE_TIMEOUT_US if the link has to keep it.
+            self.connections[connection].probed_at = now
         return [*map(ReplaceConnection, unresponsive), *map(SendProbe, to_probe)]
 
     def is_silent(self, now: int, connection: int) -> bool:
@@ -304,7 +309,7 @@
     # Connections that lead to the same process
 
     def merge_younger(self, now: int, receiver: ConnectionState) -> None:
-        """Merges in the incarnations of younger connections that came up before the data received was sent.
+        """Merges in the incarnations of younger connections, opened before the data just received was sent.
 
         The process that sent the data on `receiver` must have accepted these connections.
         """
