--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -71,7 +71,7 @@
 
 
 class Model:
-    """A ledger between fronts and links without wires, and the events that may happen to it."""
+    """A ledger between a front and links without a network, and the events that may happen to it."""
 
     def __init__(self, agent: Any = None) -> None:
         self.now = 1000 * SECOND_US
@@ -133,14 +133,14 @@
             exchange = standing[call]
             self.checker.released_by_switch(call)
             self.run_turn(CallEnded(exchange, call, api.Outcome.DONE))
-        elif kind == "late":  # results of attempts that have ended must be ignored
+        elif kind == "late":  # results that do not belong to an attempt in flight
             self.run_turn(Answered("x1", f"c{number}", -1, "late"), AttemptFailed("x2", f"c{number}", 9, CUT))
         elif kind == "list":
             name = NAMES[number % 3]
             state = (api.ExchangeState.UP, api.ExchangeState.DRAINING)[amount % 2]
             self.checker.draining_since.pop(name, None)
             if state is not api.ExchangeState.UP:
-                # No grace period: the ledger knows at once.
+                # 2 s ago, so that the checker permits no more set-ups: the ledger knows of the drain at once.
                 self.checker.draining_since[name] = self.now / SECOND_US - 2.0
             changed = list_entry(1 + number % 3, state)
             self.run_turn(api.ExchangeList(api.ListKind.CHANGES, (changed,)))
@@ -304,7 +304,7 @@
         model.run_turn(api.ExchangeList(api.ListKind.CHANGES, (up,)))
         for _ in range(20):
             model.step("offer", 0, 100_000)
-            model.step("offer", 7, 100_000)  # in transit, and refused
+            model.step("offer", 7, 100_000)  # in transit, to x2
             model.step("answer", 0, 0)
             model.step("switch_release" if generation % 2 else "wait", 0, 20)
         del model.links[name]
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -163,7 +163,8 @@
                 switch.connect()
             case "lose" if len(live) > 1:
                 switch.lose(live[pick % len(live)])
-                switch.cut_off_calls |= switch.calls.keys()  # others may not be known to lead there
+                # The remaining connections may not be known to lead to the same process.
+                switch.cut_off_calls |= switch.calls.keys()
             case "replace":
                 switch.replace_process()
             case "reset_all":
@@ -194,7 +195,7 @@
     switch, call = idle_switch()
     switch.replace_process()
     switch.advance(LEASE_US - PROBE_IDLE_US - PROBE_ROUND_TRIP_US - 1)
-    assert call in switch.ended_unreported, "not before the lease has expired"
+    assert call in switch.ended_unreported, "the call was given up before its lease expired"
     switch.advance(PROBE_IDLE_US + PROBE_ROUND_TRIP_US + 1)
     assert (
         not switch.ended_unreported
--- a/tests/test_paths.py
+++ b/tests/test_paths.py
@@ -49,6 +49,7 @@
     return (network.add_json_switch if kind == "sip" else network.add_iax_switch)(name, number, **more)
 
 
+# The caller's protocol and the switch's; a switch of kind "sip" speaks JSON lines.
 PAIRS = [("sip", "sip"), ("sip", "iax"), ("iax", "sip"), ("iax", "iax")]
 
 
@@ -126,7 +127,7 @@
             caller = await start_caller(network, "iax")
             caller.dial("71", left_s=6.0)
             await wait_until(lambda: switch.accepted == 1)
-            switch.lose_state()  # it answers the next PING with INVAL, which ends the attempt as reset
+            switch.lose_state()  # it answers the next PING with INVAL, and the attempt ends as cut
             answer, _ = await caller.wait_for_answer("71")
             assert answer == "answer" and other.accepted == 1, "not rerouted over the other switch"
             await asyncio.wait_for(caller.end_events["71"].wait(), 5)
@@ -171,7 +172,7 @@
     async def test() -> None:
         near, far = LocalNetwork(own_exchange=0), LocalNetwork(own_exchange=2)
         tandem = add_switch(near, between, "s2", 2)
-        full = near.add_json_switch("s1", 1)  # the direct route
+        full = near.add_json_switch("s1", 1)  # the direct route, without a free circuit
         end = add_switch(far, calling)
         async with near, far:
             full.write("status", "", {"load": "x0:0;x1:500"})
@@ -223,7 +224,7 @@
             )
             await wait_until(lambda: not network.router.ledger.is_up("s2"))
             for switch in switches:
-                # in the past, as the router already knows: no more set-ups are tolerated
+                # 2 s ago, so that the checker permits no more set-ups: the router already knows of the drain
                 network.checker.draining_since[switch.name] = time.monotonic() - 2.0
             for index, caller in enumerate(callers):
                 caller.dial(f"7{index}", route=f"dest:{1 + index};width:1")
@@ -352,7 +353,10 @@
 
 
 def test_answer_and_callers_hangup_in_one_turn_release_call_at_switch() -> None:
-    """The front had already removed the call when the answer, received just before, was passed on to it."""
+    """Guards against a call left standing at the switch.
+
+    The front has already removed the call when the answer, received just before, is passed on to it.
+    """
 
     async def test() -> None:
         network = LocalNetwork()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -165,7 +165,7 @@
             requests = len(logs[0].requested_since)
             process.send_signal(signal.SIGTERM)
             await wait_until(lambda: process.poll() is not None, 5)
-            assert len(logs[0].requested_since) == requests, "the former change log gets no more requests"
+            assert len(logs[0].requested_since) == requests, "the former change log got another request"
         finally:
             process.kill()
         errors = process.communicate()[1]
@@ -182,8 +182,8 @@
         network.add_json_switch("s1", 1)
         async with network:
             stopped = network.change_log.transport
-            network.change_log.pending_request = None  # it never answers the pending request,
-            # and the connection stalls in the middle of an answer
+            # The response to the pending request stalls in the middle, and the connection stays silent.
+            network.change_log.pending_request = None
             stopped.write(b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"seq"')
             await wait_until(lambda: network.change_log.transport is not stopped, 2.5)
 
@@ -263,7 +263,7 @@
             assert (await caller.wait_for_answer("71"))[0] == "answer"
             assert new.accepted == 1
             assert list(network.router.listed_links) == list(network.router.links) == ["s2"], (
-                "links to removed switches are deleted"
+                "a link to a removed switch was not deleted"
             )
             network.change_log.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{")  # not JSON
             await asyncio.sleep(0.3)
@@ -289,7 +289,7 @@
             await wait_until(lambda: sum(not one.is_closing() for one in first.transports) == 1, 1)
             caller.dial("72", left_s=0.3)
             assert (await caller.wait_for_answer("72"))[0] == "503" and first.accepted == 1
-            await asyncio.sleep(2.5)  # longer than the lease of a removed switch: it answers probes
+            await asyncio.sleep(2.5)  # the lease of a removed switch, which its answers to probes renew
             assert not caller.end_events["71"].is_set()
             await asyncio.wait_for(caller.end_events["71"].wait(), 1.5)
             await wait_until(lambda: all(one.is_closing() for one in first.transports), 1)
@@ -367,7 +367,7 @@
             caller.dial("72", left_s=0.3)  # too short to wait for the switch to come back
             assert (await caller.wait_for_answer("72"))[0] == "503" and second.accepted == 0
             assert time.monotonic() - started_at < 0.2, (
-                "the connect was refused, so there is no release to wait for"
+                "waited for a release although the connect was refused"
             )
             network.checker.assert_all_answered()
 
