--- a/rowanmast/app/daemon.py
+++ b/rowanmast/app/daemon.py
@@ -43,16 +43,19 @@
         addresses: Mapping[str, Sequence[Endpoint]] | None = None,
         preference: Preference | None = None,
     ) -> None:
-        """`addresses` lists, by switch name, the addresses to use instead of the change log's."""
-        self.callers = SipFront(self, config.sockets // 2, now_us)
-        super().__init__(config, reader, loop, orphan_front=self.callers)
+        """`addresses` lists, by switch name, the addresses to use instead of the change log's.
+
+        They are tried in the order of `preference`.
+        """
+        self.sip_front = SipFront(self, config.sockets // 2, now_us)
+        super().__init__(config, reader, loop, orphan_front=self.sip_front)
         if addresses:
             self.add_link_factory(MultiAddressLinks(self, addresses, preference or Preference()).make_link)
         self.iax = None if iax is None else IaxComponent(self, iax)
         if self.iax is not None:
             self.add_components(self.iax)
             self.add_link_factory(self.iax.make_link)
-        self.add_components(SipComponent(self.callers, config.listen))
+        self.add_components(SipComponent(self.sip_front, config.listen))
 
     @property
     def pair(self) -> vrrp.VrrpEndpoint | None:
@@ -77,7 +80,7 @@
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     def reload(self) -> None:
-        """Reads the configuration again and switches to its change log; other changes need a restart."""
+        """Reads the configuration again and follows its change log; other changes need a restart."""
         try:
             config = read_config(self.config.path, self.reader)
         except ConfigError as error:
--- a/rowanmast/core/ledger.py
+++ b/rowanmast/core/ledger.py
@@ -43,14 +43,17 @@
 
 NS_PER_US = 1000  # the ledger counts microseconds, the decision module nanoseconds
 NULL_LINK = NullLink()
-# The next purge of stale timers comes when the heap exceeds twice its size after the last one, plus this.
+# Stale timers are purged when the heap exceeds twice the size that the last purge left, plus this.
 STALE_TIMER_SLACK = 64
-ENDED_CALL_RETENTION_US = 10_000_000  # a switch's release may cross the router's, or arrive twice, until then
-# If the output of a turn is flushed later than this, the waits that start with it are extended by the delay.
-# Shorter delays are covered by the release margin of the decision module (50 ms).
+# How long the id of an ended call is kept. If the switch's release crosses the router's own or is repeated
+# within this time, it is not taken for the release of a call that an earlier run left standing.
+ENDED_CALL_RETENTION_US = 10_000_000
+# If the output of a turn is sent later than this after the turn's start, the waits that start in the turn are
+# extended by the delay. Shorter delays are covered by the release margin of the decision module (50 ms).
 MAX_SEND_LAG_US = 25_000
 SHUTDOWN_RETRY_AFTER_US = 1_000_000  # sent with calls that are refused because the router shuts down
-# The switch may still be working on the call: its release must be awaited before the next attempt.
+# Outcomes after which the switch may still be working on the call: the release guard time has to pass before
+# the next attempt.
 UNCONFIRMED_OUTCOMES = (api.Outcome.TIMED_OUT, api.Outcome.CUT, api.Outcome.CALLED_OFF)
 
 Item = TypeVar("Item")
@@ -67,12 +70,13 @@
     deadline: int
     current_attempt: Attempt | None = None
     attempt_count: int = 0
-    next_attempt_at: int = 0  # earliest time, while the release of the last attempt is awaited
-    answered: bool = False
-    standing_attempt: Attempt | None = None
+    next_attempt_at: int = 0  # end of the release guard time; no attempt may start before
+    has_final_answer: bool = False  # set up, refused or failed
+    standing_attempt: Attempt | None = None  # the one that set up the call, while the call stands
     standing_since: int = 0
 
 
+# What has expired: the time limit of an attempt, a timer of the decision module or the deadline of a call.
 Timer = Attempt | api.TimerExpired | CallRecord
 
 
@@ -104,7 +108,7 @@
         self.ended_calls: list[str] = []  # calls whose records are deleted at the end of the turn
         self.recently_ended: OrderedDict[str, int] = OrderedDict()  # call id -> time of its end
         self.now = 0
-        self.awaiting_release: list[CallRecord] = []  # calls whose wait for a release starts in this turn
+        self.awaiting_release: list[CallRecord] = []  # calls whose release guard time starts in this turn
         self.totals = Totals()
         self.turn_start_serial = 0  # timers with a higher serial number were added in this turn
 
@@ -145,10 +149,11 @@
                 self.run_isolated(self.execute, action)
 
     def output_flushed(self, now: int) -> None:
-        """The output of the last turn has been sent by now; if that is late, waits for a release start now.
+        """The output of the last turn has been sent by now; if that is late, release guard times start now.
 
-        All timers that the module set in this turn are shifted as well, as they are not told apart.
-        A host application that holds the interpreter may delay a turn by hundreds of milliseconds.
+        All timers that the module set in that turn are postponed as well, as the ledger does not know which
+        of them wait for a release. A host application that holds the interpreter may delay the output by
+        hundreds of milliseconds.
         """
         lag = now - self.now
         if lag > MAX_SEND_LAG_US:
@@ -173,12 +178,12 @@
 
     def unanswered_count(self) -> int:
         """The number of calls without a final answer."""
-        return sum(not record.answered for record in self.records.values())
+        return sum(not record.has_final_answer for record in self.records.values())
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Checks an attempt just before its bytes are written.
+        """Whether a queued attempt, or one to be retransmitted, may still be sent.
 
-        Since it was started it may have been cancelled, or its switch may have begun to drain.
+        It may have been cancelled in the meantime, or its switch may have begun to drain.
         """
         record = self.records.get(attempt.call)
         return record is not None and record.current_attempt is attempt and self.is_up(attempt.exchange)
@@ -236,13 +241,16 @@
     def end_expired_call(self, record: CallRecord) -> None:
         """Fails a call past its deadline if the module has not answered it by now, as it should have."""
         call = record.offer.call
-        if self.records.get(call) is record and not record.answered:
+        if self.records.get(call) is record and not record.has_final_answer:
             log.error("late_answer", extra={"call": call})
             self.events.append(api.CallerHungUp(call))
             self.finish_unanswered(record, Failure.GIVEN_UP)
 
     def purge_stale_timers(self) -> None:
-        """Deletes timers that are no longer needed: a call with a deadline in an hour may end at once."""
+        """Deletes timers that are no longer needed.
+
+        Otherwise the timer of a call that has ended would stay in the heap until the call's deadline.
+        """
         self.timers = [entry for entry in self.timers if self.is_timer_live(entry[2])]
         heapq.heapify(self.timers)
         self.timers_after_purge = len(self.timers)
@@ -253,7 +261,7 @@
                 record = self.records.get(timer.call)
                 return record is not None and record.current_attempt is timer
             case CallRecord():
-                return not timer.answered
+                return not timer.has_final_answer
             case _:
                 return True
 
@@ -267,8 +275,8 @@
     def run_isolated(self, step: Callable[[Item], Result], item: Item) -> Result | None:
         """Runs one step; if it raises, the exception is logged and the turn continues.
 
-        The call that the item names in its field `call` fails, unless it has its answer. A CallRecord has no
-        such field, so no call fails for it and the log line names none.
+        The call that the item names in its field `call` fails, unless it has its final answer. A CallRecord
+        has no such field, so no call fails for it and the log line names none.
         """
         try:
             return step(item)
@@ -276,7 +284,7 @@
             call = getattr(item, "call", "")
             log.exception("call_fault", extra={"what": type(item).__name__, "call": call})
             record = self.records.get(call)
-            if record is not None and not record.answered:
+            if record is not None and not record.has_final_answer:
                 self.events.append(api.CallerHungUp(call))
                 self.finish_unanswered(record, Failure.FAULT)
             return None
@@ -284,7 +292,7 @@
     def end_unanswered(self) -> None:
         """Refuses every unanswered call, or fails it if the caller could do harm by trying again."""
         for record in list(self.records.values()):
-            if record.answered:
+            if record.has_final_answer:
                 continue
             call_class = self.settings.classes[self.classes[record.offer.klass]]
             may_retry = call_class.idempotency is api.Idempotency.SAFE or record.attempt_count == 0
@@ -322,12 +330,12 @@
         record = self.records.get(call)
         if record is None:
             return
-        # The caller cancelled as the answer came, and gets a release, or was lost while the call stands.
+        # The call stands if the cancellation crossed the answer, or if a caller was lost during the call.
         if record.standing_attempt is not None:
             self.link(record.standing_attempt.exchange).release(call, NORMAL_CLEARING)
             ending = EndReason.CALLER_CANCELLED
             self.end_call(record, api.Outcome.CALLED_OFF, NO_REPORT, NORMAL_CLEARING, ending)
-        elif not record.answered:
+        elif not record.has_final_answer:
             self.events.append(api.CallerHungUp(call))
             self.finish_unanswered(record, Failure.CANCELLED)
 
@@ -358,7 +366,7 @@
         record.current_attempt, record.standing_attempt, record.standing_since = None, attempt, self.now
         delay_ns = (self.now - attempt.sent_at) * NS_PER_US
         self.events.append(api.CallAnswered(item.call, attempt.number, attempt.exchange, delay_ns))
-        self.answer_call(record, item.text)
+        self.give_final_answer(record, item.text)
 
     def on_call_ended(self, item: CallEnded) -> None:
         record = self.records.get(item.call)
@@ -384,7 +392,7 @@
         self.orphan_front.release(item.call, NORMAL_CLEARING if completed else TEMPORARY_FAILURE)
 
     def on_list(self, item: api.ExchangeList) -> None:
-        """Takes over a list or its changes. The change log reader posts no list of kind FAILED.
+        """Applies a full list or changes to it. The change log reader posts no list of kind FAILED.
 
         Such a list would empty `listed` and cut all attempts.
         """
@@ -434,7 +442,7 @@
         if outcome in UNCONFIRMED_OUTCOMES:
             record.next_attempt_at = self.now + self.settings.release_guard_ns // NS_PER_US
             self.awaiting_release.append(record)
-        self.report_attempt_ended(attempt, outcome, cause, report, record.answered)
+        self.report_attempt_ended(attempt, outcome, cause, report, record.has_final_answer)
 
     def report_attempt_ended(
         self,
@@ -459,11 +467,11 @@
             )
         )
 
-    def answer_call(self, record: CallRecord, answer: str | int | Failure) -> None:
-        """Gives the final answer, once: a description, a retry-after in microseconds, or a failure."""
-        if record.answered:
+    def give_final_answer(self, record: CallRecord, answer: str | int | Failure) -> None:
+        """Gives the final answer, once: the switch's text, a retry-after in microseconds, or a failure."""
+        if record.has_final_answer:
             return
-        record.answered = True
+        record.has_final_answer = True
         call, front = record.offer.call, record.offer.front
         match answer:
             case str():
@@ -541,8 +549,8 @@
                 pass  # the router follows the change log anyway
 
     def finish_unanswered(self, record: CallRecord, answer: int | Failure) -> None:
-        """Gives a call that does not stand its final answer and cancels its current attempt."""
-        self.answer_call(record, answer)
+        """Refuses or fails a call unless it has its final answer, and cancels its current attempt."""
+        self.give_final_answer(record, answer)
         if record.current_attempt is not None:
             self.cancel_attempt(record, api.Outcome.CALLED_OFF)
 
@@ -565,13 +573,15 @@
         record.attempt_count += 1
         rule = self.violated_rule(record, attempt)
         if rule is not None:
-            if not record.answered:  # expected if the caller hung up in the same turn
+            if not record.has_final_answer:  # expected if the caller hung up in the same turn
                 log.warning("set_up_held_back", extra={"call": offer.call, "why": rule})
-            self.report_attempt_ended(attempt, api.Outcome.NOT_SENT, None, NO_REPORT, record.answered)
+            self.report_attempt_ended(attempt, api.Outcome.NOT_SENT, None, NO_REPORT, record.has_final_answer)
             return
-        if not self.within_cold_share(action.exchange):  # reported as "no circuit": another route may be free
-            cause = api.Cause.NO_CIRCUIT
-            self.report_attempt_ended(attempt, api.Outcome.NOT_SENT, cause, NO_REPORT, record.answered)
+        if not self.try_acquire_cold_share(action.exchange):
+            cause = api.Cause.NO_CIRCUIT  # the module may then try another route
+            self.report_attempt_ended(
+                attempt, api.Outcome.NOT_SENT, cause, NO_REPORT, record.has_final_answer
+            )
             return
         record.current_attempt = attempt
         self.schedule(deadline, attempt)
@@ -579,7 +589,7 @@
 
     def violated_rule(self, record: CallRecord, attempt: Attempt) -> str | None:
         """The rule that forbids this attempt, by the name used in the log; None if it may start."""
-        if record.answered:
+        if record.has_final_answer:
             return "answered"
         if record.current_attempt is not None:
             return "attempt_out"
@@ -596,10 +606,11 @@
             return "transit_elsewhere"
         return None
 
-    def within_cold_share(self, exchange: str) -> bool:
-        """Takes one set-up to the switch from the share of this process; False if the share is used up.
+    def try_acquire_cold_share(self, exchange: str) -> bool:
+        """Whether the routers of this process may together send this set-up; if so, it is counted.
 
-        The share's rate is per other exchange: the listed ones without one, the router's own.
+        Only set-ups to cold switches are limited. The last argument is the number of other exchanges: the
+        listed ones without the router's own.
         """
         if self.cold_share is None:
             return True
@@ -607,8 +618,8 @@
 
 
 def with_release_margin(settings: api.Settings, margin_us: int) -> api.Settings:
-    """The settings for the decision module, with a longer wait for a release than the ledger enforces.
+    """The settings for the decision module, with a longer release guard time than the ledger enforces.
 
-    The ledger's wait counts from when the last byte was sent, the module's from the start of the turn.
+    The guard time must count from when the output was sent, but the module counts from the start of the turn.
     """
     return replace(settings, release_guard_ns=settings.release_guard_ns + margin_us * NS_PER_US)
