--- a/rowanmast/call_agent.py
+++ b/rowanmast/call_agent.py
@@ -252,8 +252,8 @@
         self.random = Random(seed)
         self.exchanges: dict[str, FarExchange] = {}
         self.active_exchanges: dict[int, FarExchange] = {}  # by number: those that accept new calls
-        self.tandem_candidates: list[FarExchange] = []  # the same as a list, from which tandems are drawn
-        self.last_tandems: dict[int, str] = {}  # by destination: the tandem used last
+        self.active_list: list[FarExchange] = []  # the same as a list, from which tandems are drawn
+        self.last_alternatives: dict[int, str] = {}  # by destination: the tandem used last
         # By (tandem, destination): length and end of the pause after crankback.
         self.paused_tandems: dict[tuple[str, int], tuple[float, int]] = {}
         self.pending_calls: dict[str, PendingCall] = {}
@@ -276,11 +276,13 @@
         self.last_losses = (-LOSS_WINDOW_NS, -LOSS_WINDOW_NS)
         # Mean and mean deviation of the delays of answers, smoothed; before the first answer, the margin that
         # the settings reserve before deadlines.
-        self.mean_delay_ns = self.delay_deviation_ns = float(settings.period_ns)
+        self.mean_delay_ns = self.delay_deviation_ns = float(settings.deadline_margin_ns)
         self.cold_exchanges: list[FarExchange] = []
         # Number of set-ups that may be sent to cold exchanges, and when it was last updated.
         self.cold_budget, self.cold_budget_updated = 0.0, 0
-        self.settings_unusable = not settings.classes or settings.period_ns <= 0 or settings.agents <= 0
+        self.settings_unusable = (
+            not settings.classes or settings.deadline_margin_ns <= 0 or settings.agents <= 0
+        )
         self.unusable_logged = False
         objectives = [item.objective_ns for item in settings.classes if item.objective_ns > 0] or [SECOND]
         resend = int(settings.retransmit_ns * RETRANSMIT_FRACTION)
@@ -367,7 +369,7 @@
             newer = other is None or (exchange.entry.started_ns or 0) >= (other.entry.started_ns or 0)
             if exchange.entry.state is ExchangeState.UP and newer:
                 self.active_exchanges[exchange.entry.number] = exchange
-        self.tandem_candidates = list(self.active_exchanges.values())
+        self.active_list = list(self.active_exchanges.values())
         self.paused_tandems = {
             route: pause for route, pause in self.paused_tandems.items() if route[0] in self.exchanges
         }
@@ -376,7 +378,7 @@
                 (self.settings.agent_index + 0.5) / max(self.settings.agents, 1) % 1.0,
                 self.now,
             )
-        self.cold_exchanges = [exchange for exchange in self.tandem_candidates if self.is_cold(exchange)]
+        self.cold_exchanges = [exchange for exchange in self.active_list if self.is_cold(exchange)]
         if self.settings.must_subscribe and event.kind is ListKind.SAVED:
             self.actions.append(Subscribe())
 
@@ -385,7 +387,7 @@
         started = exchange.entry.started_ns
         return started is not None and self.now - started < self.settings.cold_ns
 
-    def has_budget(self, exchange: FarExchange) -> bool:
+    def cold_budget_allows(self, exchange: FarExchange) -> bool:
         """Whether this agent's share of what cold exchanges accept allows a set-up to this one.
 
         The share is estimated from the mean rate of set-ups to one active exchange. With many agents the
@@ -428,7 +430,7 @@
         width = call.width or self.settings.classes[call.klass].width
         pending = PendingCall(call, width, self.now + call.remaining_ns)
         self.pending_calls[call.call] = pending
-        pending.priority = self.compute_priority(pending)
+        pending.priority = self.record_and_prioritize(pending)
         assert self.gate is not None
         if self.settings.meshed and (
             call.dest not in self.active_exchanges or call.dest == self.settings.own_exchange
@@ -437,7 +439,7 @@
             return
         line_free = call.transit or self.now >= self.busy_numbers.get(call.key, (0, 0))[1]
         admitted = line_free and self.gate.admit(self.now, pending.priority) and not self.must_yield(pending)
-        limit = MAX_LATE_TOTAL * (1 + self.tolerated_unanswered()) * pending.priority
+        limit = MAX_LATE_TOTAL * (1 + self.lost_answer_allowance()) * pending.priority
         if admitted and self.total_late(limit) < limit:
             self.route(pending)
         else:
@@ -456,7 +458,7 @@
         )
         return busy and pending.priority < LOW_PRIORITY
 
-    def compute_priority(self, pending: PendingCall) -> float:
+    def record_and_prioritize(self, pending: PendingCall) -> float:
         """The worth that the call may still earn, relative to the mean worth; to be called once per call.
 
         A redial past the objective has the late worth of its class. Besides, this sets the end of the call's
@@ -492,7 +494,7 @@
         for exchange_id, exchange in list(self.late_exchanges.items()):
             is_current = self.exchanges.get(exchange_id) is exchange
             count += exchange.late_count_after(
-                self.late_cutoff(exchange), self.last_on_time_sent, limit - count
+                self.late_sent_until(exchange), self.last_on_time_sent, limit - count
             ) * (is_current and not exchange.consecutive_failures)
             if not (is_current and exchange.aged_attempts):
                 del self.late_exchanges[exchange_id]
@@ -504,7 +506,7 @@
         """The delay above which a set-up to this exchange is late."""
         return max(self.delay_target_ns, int(exchange.min_delay * MIN_DELAY_FACTOR))
 
-    def late_cutoff(self, exchange: FarExchange) -> int:
+    def late_sent_until(self, exchange: FarExchange) -> int:
         """A set-up sent up to this time and still unanswered is late."""
         return self.now - self.delay_limit(exchange)
 
@@ -517,9 +519,9 @@
             return
         spent = (
             pending.attempts >= self.settings.max_attempts
-            or self.now >= pending.deadline_ns - self.settings.period_ns
+            or self.now >= pending.deadline_ns - self.settings.deadline_margin_ns
         )
-        exchange = None if spent else self.direct_route(pending) or self.tandem_route(pending)
+        exchange = None if spent else self.direct_route(pending) or self.alternative_route(pending)
         if (
             exchange is not None
             and self.may_repeat(pending, exchange)
@@ -583,16 +585,16 @@
         pools = self.settings.classes[pending.call.klass].skilled_pools
         if not self.settings.meshed and pools and exchange.entry.number not in pools:
             return False
-        if exchange.consecutive_failures > self.tolerated_unanswered() and (
+        if exchange.consecutive_failures > self.lost_answer_allowance() and (
             exchange.unanswered or self.now < exchange.paused_until
         ):
             return False  # one set-up at a time probes a failing exchange
-        limit = (MAX_LATE_PER_EXCHANGE + self.tolerated_unanswered()) * pending.priority
-        if exchange.unanswered and exchange.late_count(self.late_cutoff(exchange), limit) >= limit:
+        limit = (MAX_LATE_PER_EXCHANGE + self.lost_answer_allowance()) * pending.priority
+        if exchange.unanswered and exchange.late_count(self.late_sent_until(exchange), limit) >= limit:
             return False
         return (
             exchange.free_circuits is None or exchange.free_circuits >= pending.width + reserved
-        ) and self.has_budget(exchange)
+        ) and self.cold_budget_allows(exchange)
 
     def direct_route(self, pending: PendingCall) -> FarExchange | None:
         """The destination itself, if it is usable; a call in transit leaves the reserved circuits free."""
@@ -602,7 +604,7 @@
         reserved = self.reserved_circuits(exchange, pending) if pending.call.transit else 0.0
         return exchange if self.is_usable(exchange, pending, reserved) else None
 
-    def tandem_route(self, pending: PendingCall) -> FarExchange | None:
+    def alternative_route(self, pending: PendingCall) -> FarExchange | None:
         """The tandem last used for the destination; if that is blocked, the advised one, else one drawn.
 
         Where exchanges are pools, it is another pool instead of a tandem.
@@ -611,24 +613,22 @@
         if (
             pending.call.transit
             or (self.settings.meshed and dest not in self.active_exchanges)
-            or self.bars_tandems(dest)
+            or self.bars_alternative_routes(dest)
         ):
             return None
-        last_used = self.exchanges.get(self.last_tandems.get(dest, ""))
-        if last_used is not None and self.is_usable_tandem(last_used, pending):
+        last_used = self.exchanges.get(self.last_alternatives.get(dest, ""))
+        if last_used is not None and self.is_usable_alternative(last_used, pending):
             return last_used
         chosen = self.active_exchanges.get(-1 if pending.call.advised is None else pending.call.advised)
-        if chosen is None or not self.is_usable_tandem(chosen, pending):
-            drawn = self.random.sample(
-                self.tandem_candidates, min(TANDEM_CANDIDATES, len(self.tandem_candidates))
-            )
-            usable = [exchange for exchange in drawn if self.is_usable_tandem(exchange, pending)]
+        if chosen is None or not self.is_usable_alternative(chosen, pending):
+            drawn = self.random.sample(self.active_list, min(TANDEM_CANDIDATES, len(self.active_list)))
+            usable = [exchange for exchange in drawn if self.is_usable_alternative(exchange, pending)]
             chosen = max(usable, key=lambda exchange: exchange.free_circuits or 0.0, default=None)
         if chosen is not None:
-            self.last_tandems[dest] = chosen.entry.exchange
+            self.last_alternatives[dest] = chosen.entry.exchange
         return chosen
 
-    def bars_tandems(self, dest: int) -> bool:
+    def bars_alternative_routes(self, dest: int) -> bool:
         """Whether calls to the destination may not use a tandem, or another pool where exchanges are pools.
 
         A call by a tandem is a third more work for all processors, so there is none while the gate throttles
@@ -637,15 +637,15 @@
         assert self.gate is not None
         exchange = self.active_exchanges.get(dest)
         if exchange is not None and (
-            exchange.consecutive_failures > self.tolerated_unanswered()
-            or exchange.late_count(self.late_cutoff(exchange), 1)
+            exchange.consecutive_failures > self.lost_answer_allowance()
+            or exchange.late_count(self.late_sent_until(exchange), 1)
         ):
             return True
-        if exchange is not None and not self.has_budget(exchange):
+        if exchange is not None and not self.cold_budget_allows(exchange):
             return True
         return self.gate.throttled or self.total_late(1) > 0
 
-    def is_usable_tandem(self, exchange: FarExchange, pending: PendingCall) -> bool:
+    def is_usable_alternative(self, exchange: FarExchange, pending: PendingCall) -> bool:
         """Whether the tandem, or other pool, may be used.
 
         It must not be paused or have late set-ups, and must have circuits beyond the reserved ones.
@@ -660,7 +660,7 @@
         return (
             self.now >= end
             and self.is_usable(exchange, pending, reserved)
-            and exchange.late_count(self.late_cutoff(exchange), 1) == 0
+            and exchange.late_count(self.late_sent_until(exchange), 1) == 0
         )
 
     @staticmethod
@@ -707,7 +707,11 @@
             self.cold_budget -= 1.0
         self.count_send()
         timeout = max(
-            min(pending.deadline_ns - self.now - self.settings.period_ns, self.answer_timeout(pending)), 1
+            min(
+                pending.deadline_ns - self.now - self.settings.deadline_margin_ns,
+                self.answer_timeout(pending),
+            ),
+            1,
         )
         self.actions.append(SetUp(pending.call.call, exchange.entry.exchange, timeout))
 
@@ -736,7 +740,7 @@
         """Whether two losses were detected within the loss window."""
         return self.now - self.last_losses[0] < LOSS_WINDOW_NS
 
-    def tolerated_unanswered(self) -> int:
+    def lost_answer_allowance(self) -> int:
         """Allowance for lost answers: 1 while answers are being lost, else 0.
 
         So many failures and late set-ups of one exchange are disregarded; the limit over all doubles.
@@ -852,8 +856,8 @@
                 pending.tried_exchanges.remove(event.exchange)  # only its answer was lost
             self.await_release(pending)
         elif self.may_reroute(event):
-            if self.last_tandems.get(pending.call.dest) == event.exchange:
-                del self.last_tandems[pending.call.dest]
+            if self.last_alternatives.get(pending.call.dest) == event.exchange:
+                del self.last_alternatives[pending.call.dest]
             if event.outcome is Outcome.BUSY and exchange is self.active_exchanges.get(pending.call.dest):
                 # The fault was at the destination, where every route ends: the retry excludes no exchange.
                 pending.tried_exchanges = []
@@ -871,7 +875,7 @@
             exchange = destination
         if event.outcome is Outcome.BUSY or event.cause is Cause.CRANKBACK:
             exchange.consecutive_failures = 0
-            self.on_crankback(event)
+            self.pause_tandem_on_crankback(event)
             return
         full = event.cause in (Cause.PROCESSOR_FULL, Cause.DESTINATION_FULL)
         if event.outcome not in (Outcome.TIMED_OUT, Outcome.UNREACHED) and not full:
@@ -902,7 +906,7 @@
         )
         self.busy_numbers[pending.call.key] = (pause, self.now + int(pause * self.random.uniform(0.75, 1.25)))
 
-    def on_crankback(self, event: AttemptEnded) -> None:
+    def pause_tandem_on_crankback(self, event: AttemptEnded) -> None:
         """Pauses a tandem that had no onward circuit: each such attempt costs work on two processors.
 
         Does nothing for other causes, as after a BUSY outcome.
@@ -932,7 +936,10 @@
         The call ends instead if it is in transit or no time is left.
         """
         pending.not_before_ns = self.now + self.settings.release_guard_ns
-        if pending.not_before_ns + self.settings.period_ns >= pending.deadline_ns or pending.call.transit:
+        if (
+            pending.not_before_ns + self.settings.deadline_margin_ns >= pending.deadline_ns
+            or pending.call.transit
+        ):
             self.refuse(pending)
         else:
             self.actions.append(SetTimer(self.settings.release_guard_ns, "call " + pending.call.call))
--- a/rowanmast/interface.py
+++ b/rowanmast/interface.py
@@ -87,7 +87,9 @@
     agent_index: int  # of this agent, from 0
     own_exchange: int  # number of the exchange that the agent belongs to; -1 where exchanges are pools
     meshed: bool  # every exchange has a circuit group to every other; otherwise exchanges are pools
-    period_ns: int  # (the platform's name) margin before deadlines, and first value of the mean answer delay
+    deadline_margin_ns: (
+        int  # (the platform's name) margin before deadlines, and first value of the mean answer delay
+    )
     classes: tuple[CallClass, ...]
     overall_weight: float  # weight in the goal of all calls
     worst_window_weight: float  # weight in the goal of the worst time window
--- a/rowanmast/middleware/admission.py
+++ b/rowanmast/middleware/admission.py
@@ -45,7 +45,7 @@
         agent_index=0,
         own_exchange=-1,
         meshed=False,
-        period_ns=1_000_000,
+        deadline_margin_ns=1_000_000,
         classes=(call_class,),
         overall_weight=1.0,
         worst_window_weight=0.0,
--- a/rowanmast/settings.py
+++ b/rowanmast/settings.py
@@ -69,7 +69,7 @@
         agent_index=get_integer(info, "my_number"),
         own_exchange=own if isinstance(own, int) else -1,
         meshed=family.get("network_form") != "groups",
-        period_ns=get_integer(info, "period_ns"),
+        deadline_margin_ns=get_integer(info, "period_ns"),
         classes=tuple(read_class(item, family, index) for index, item in enumerate(services or [])),
         overall_weight=optional_number(goal.get("whole")) or 0.0,
         worst_window_weight=optional_number(goal.get("worst_window")) or 0.0,
--- a/tests/router_modes.py
+++ b/tests/router_modes.py
@@ -290,7 +290,7 @@
     return {
         "balancers": settings.agents,
         "my_number": settings.agent_index,
-        "period_ns": settings.period_ns,
+        "period_ns": settings.deadline_margin_ns,
         "services": services,
         "over_share_worth": settings.over_share_worth,
         "family_info": {
--- a/tests/test_call_agent.py
+++ b/tests/test_call_agent.py
@@ -203,10 +203,10 @@
 def test_a_redial_past_its_objective_has_the_late_worth() -> None:
     harness = AgentHarness()
     harness.complete_setup("a")
-    fresh = harness.agent.compute_priority(PendingCall(call("b", key="k"), 1, 0))
+    fresh = harness.agent.record_and_prioritize(PendingCall(call("b", key="k"), 1, 0))
     harness.now += 3 * SECOND
     harness.agent.now = harness.now
-    assert harness.agent.compute_priority(PendingCall(call("c", key="k"), 1, 0)) < 0.2 * fresh
+    assert harness.agent.record_and_prioritize(PendingCall(call("c", key="k"), 1, 0)) < 0.2 * fresh
 
 
 def test_a_draining_exchange_gets_no_set_ups_also_when_its_number_is_taken_over() -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -323,7 +323,7 @@
             agent.exchanges,
             agent.pending_calls,
             agent.paused_tandems,
-            agent.tandem_candidates,
+            agent.active_list,
         ]
         sizes.append([len(collection) for collection in collections])
         assert len(model.ledger.timers) <= 2 * STALE_TIMER_SLACK
--- a/tests/test_same_decisions.py
+++ b/tests/test_same_decisions.py
@@ -42,13 +42,13 @@
     def total_late(self, limit: float) -> int:
         exchanges = [exchange for exchange in self.exchanges.values() if not exchange.consecutive_failures]
         late = sum(
-            self.late_count(exchange, self.late_cutoff(exchange), self.last_on_time_sent)
+            self.late_count(exchange, self.late_sent_until(exchange), self.last_on_time_sent)
             for exchange in exchanges
         )
         self.late_decisions += late > 0
         return late
 
-    def compute_priority(self, pending: PendingCall) -> float:
+    def record_and_prioritize(self, pending: PendingCall) -> float:
         offered = pending.call
         call_class = self.settings.classes[offered.klass]
         worth = call_class.worth
