--- a/rowanmast/call_agent.py
+++ b/rowanmast/call_agent.py
@@ -1,8 +1,8 @@
 """Routing and admission decisions of one exchange's call agent; the types are in `interface.py`.
 
-Admission is Call Count Control: fresh arrivals are counted over an interval T, and when their rate exceeds
-a level, only a set rate is admitted in the next interval. The parts are the admission gate, the state of the
-other exchanges, the pending calls, and the agent that routes by them.
+Admission is Call Count Control: new calls are counted over an interval T, and when their rate exceeds a
+level, only a set rate is admitted in the next interval. A call is routed direct to its destination or by an
+alternative route: over a tandem or, where exchanges are pools, to another pool.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 MIN_INTERVAL_NS, MAX_INTERVAL_NS = SECOND // 4, 2 * SECOND  # bounds of T at any observed rate
 EVALUATION_INTERVAL_NS = SECOND  # set-up delays are evaluated over this interval
 THROTTLE_RATIO = 0.8  # admitted rate while throttled, as a fraction of the level
-# Factor applied to the level after an evaluation interval above or below the delay target.
+# Factors applied to the level after an evaluation interval in which set-ups were late or not late.
 LEVEL_DECREASE_FACTOR, LEVEL_INCREASE_FACTOR = 0.8, 1.3
 # The delay target as a fraction of the retransmission time: a retransmitted set-up is work that no counter
 # shows, so set-ups should be answered well before it.
@@ -57,14 +57,16 @@
 # An answer is late above this many times the minimum delay, if that is more than the delay target. On a long
 # path even an idle exchange takes about as long as the target, and would otherwise count as late for ever.
 MIN_DELAY_FACTOR = 1.6
-# One delay counts as at most this many delay limits: a single answer that was held up says little of the
-# rest.
+# In the mean of an evaluation interval, one delay counts as at most this many delay limits: a single answer
+# that was held up says little of the rest.
 DELAY_CAP_FACTOR = 2
 TRUNK_RESERVATION_FACTOR = 0.7  # circuits reserved for direct calls, in square roots of the group size
-TANDEM_CANDIDATES = 6  # tandems drawn at random after a block; the one with most free circuits is used
-# Under load, a call of lower priority than this (in mean worths of a call) yields to fresh calls.
+# Exchanges drawn at random if neither the last tandem nor the advised one can be used; of those that can be,
+# the one with most free circuits is used.
+TANDEM_CANDIDATES = 6
+# Under load, a call of lower priority than this (in mean worths of a call) is refused in favour of others.
 LOW_PRIORITY = 0.5
-RECOVERY_NS = 2 * SECOND  # an exchange without a late answer for this long has capacity for all calls
+RECOVERY_NS = 2 * SECOND  # an exchange without a late answer for this long gets calls of any priority
 # A reported accept rate throttles set-ups only if it is below this fraction of the usual rate of the other
 # agents: well above it, the other agents leave room for this one.
 LOW_ACCEPT_RATE_FRACTION = 0.25
@@ -72,7 +74,7 @@
 REPORT_TTL_NS = SECOND  # an older request to hold back does not describe the present load
 # Late unanswered set-ups at one exchange that stop further calls of mean priority to it.
 MAX_LATE_PER_EXCHANGE = 1.0
-# The same over all exchanges: then the agent's own processor is late.
+# Late set-ups over all exchanges that stop all calls of mean priority: then the own processor is late.
 MAX_LATE_TOTAL = 3.0
 MAX_PRIORITY = 3.0  # upper bound of a call's priority, in mean worths of a call
 # Lowest level, as a fraction of the offered rate: a level of zero would admit nothing and never rise again.
@@ -88,8 +90,8 @@
 PAUSE_PER_AGENT_NS = 0.15 * SECOND
 LOSS_WINDOW_NS = 10 * SECOND  # two lost answers within this time mean that more are being lost
 DEVIATION_FACTOR = 2.0  # an answer usually comes within the mean delay plus this many mean deviations
-# The fraction of the estimated capacity of a cold exchange that is used. The rest is a margin for bursts and
-# for the error of the other agents' estimates.
+# The fraction that is used of the load at which a cold exchange is estimated to collapse. The rest is a
+# margin for bursts and for the error of the other agents' estimates.
 COLD_BUDGET_FRACTION = 0.8
 
 
@@ -169,9 +171,12 @@
     cold_send_times: list[int] = field(default_factory=list)  # times of set-ups sent while it was cold
     # When each set-up without an answer was sent, by (call, attempt), in the order sent.
     unanswered: dict[tuple[str, int], int] = field(default_factory=dict)
-    delay_sum: int = 0  # over the set-ups answered in this evaluation interval
-    answer_count: int = 0  # set-ups answered in this evaluation interval
-    min_delay: int = 0  # of the quickest answer: path and processing, without queueing; 0: none yet
+    # Sum of the delays, each capped, and number of the set-ups answered in this evaluation interval, without
+    # those sent before the level was last cut.
+    delay_sum: int = 0
+    answer_count: int = 0
+    # Of the quickest answer: path and processing, without queueing; 0: none yet within the delay target.
+    min_delay: int = 0
     # Set-ups that timed out, did not reach it or found it full, since the last answer, BUSY outcome or
     # crankback. Those sent before the last failure was known count as one.
     consecutive_failures: int = 0
@@ -239,8 +244,8 @@
     attempts: int = 0
     in_flight: bool = False  # an attempt has no outcome yet
     may_have_run_on: str | None = None  # exchange of the first attempt that may have taken effect
-    may_have_run_sent_ns: int = 0  # when that attempt was sent
-    not_before_ns: int = 0  # no new attempt before the last one is released
+    may_have_run_sent_ns: int = 0  # when that attempt was sent; without one, when the last attempt was
+    not_before_ns: int = 0  # end of the wait for the release of the last attempt; no new one before
     tried_exchanges: list[str] = field(default_factory=list)  # exchanges excluded from the next attempt
 
 
@@ -252,8 +257,8 @@
         self.random = Random(seed)
         self.exchanges: dict[str, FarExchange] = {}
         self.active_exchanges: dict[int, FarExchange] = {}  # by number: those that accept new calls
-        self.active_list: list[FarExchange] = []  # the same as a list, from which tandems are drawn
-        self.last_alternatives: dict[int, str] = {}  # by destination: the tandem used last
+        self.active_list: list[FarExchange] = []  # the same as a list, to draw alternative routes from
+        self.last_alternatives: dict[int, str] = {}  # by destination: the tandem or pool used last
         # By (tandem, destination): length and end of the pause after crankback.
         self.paused_tandems: dict[tuple[str, int], tuple[float, int]] = {}
         self.pending_calls: dict[str, PendingCall] = {}
@@ -264,9 +269,11 @@
         self.busy_numbers: dict[str, tuple[float, int]] = {}
         self.mean_worth = 0.0
         self.level_cut_at = 0  # when the gate's level was last cut
-        self.last_on_time_sent = 0  # when the latest set-up left that was answered within its limit
-        self.recent_sends: deque[tuple[int, FarExchange, tuple[str, int]]] = deque()  # in the order sent
-        self.late_exchanges: dict[str, FarExchange] = {}  # with late unanswered set-ups
+        self.last_on_time_sent = 0  # when the latest set-up was sent that was answered within its limit
+        # Set-ups as (when sent, exchange, attempt), in the order sent. `total_late` removes those older than
+        # the delay target.
+        self.recent_sends: deque[tuple[int, FarExchange, tuple[str, int]]] = deque()
+        self.late_exchanges: dict[str, FarExchange] = {}  # by id: those with `aged_attempts`
         self.actions: list[Action] = []
         self.now = 0
         # Set-ups per second to one other exchange, averaged over the active ones, cold ones too; smoothed.
@@ -274,8 +281,8 @@
         self.sent_count, self.sent_since = 0, 0  # set-ups counted for the send rate; since when
         # The last two times at which answers were found to be lost.
         self.last_losses = (-LOSS_WINDOW_NS, -LOSS_WINDOW_NS)
-        # Mean and mean deviation of the delays of answers, smoothed; before the first answer, the margin that
-        # the settings reserve before deadlines.
+        # Mean and mean deviation of the delays of answers, smoothed; they start at the margin that the
+        # settings reserve before deadlines.
         self.mean_delay_ns = self.delay_deviation_ns = float(settings.deadline_margin_ns)
         self.cold_exchanges: list[FarExchange] = []
         # Number of set-ups that may be sent to cold exchanges, and when it was last updated.
@@ -341,7 +348,7 @@
     # The list of exchanges
 
     def on_list(self, event: ExchangeList) -> None:
-        """Takes over a list of exchanges, or its changes; asks for another one later if none was obtained."""
+        """Applies a list of exchanges, or its changes; sets a timer to request one if none was obtained."""
         if event.kind is ListKind.FAILED:
             self.actions.append(SetTimer(int(SECOND * self.random.uniform(0.5, 1.5)), "list"))
             return
@@ -388,11 +395,12 @@
         return started is not None and self.now - started < self.settings.cold_ns
 
     def cold_budget_allows(self, exchange: FarExchange) -> bool:
-        """Whether this agent's share of what cold exchanges accept allows a set-up to this one.
+        """Whether the budget for cold exchanges allows a set-up to this one; always true for a warm one.
 
-        The share is estimated from the mean rate of set-ups to one active exchange. With many agents the
-        share of one cold exchange is less than one set-up, so all exchanges that are cold at the time draw on
-        one credit. The credit starts at a fraction given by the agent's index, so that the agents take turns.
+        The budget is this agent's share of what cold exchanges can take, estimated from the mean rate of
+        set-ups to one active exchange. With many agents the share of one cold exchange is less than one
+        set-up, so all exchanges that are cold at the time draw on one budget. It starts at a fraction given
+        by the agent's index, so that the agents take turns.
         """
         if not self.is_cold(exchange):
             return True
@@ -412,7 +420,7 @@
         )
         self.cold_budget_updated = self.now
         exchange.cold_send_times = [sent for sent in exchange.cold_send_times if self.now - sent < window]
-        # Besides, one exchange gets at most twice its own rate: the credit is common to all cold exchanges.
+        # Besides, one exchange gets at most twice its own share: the budget is common to all cold exchanges.
         return self.cold_budget >= 1.0 and len(exchange.cold_send_times) < max(
             2 * rate_per_exchange * window, 1.0
         )
@@ -423,7 +431,7 @@
         """Admits and routes a call, or refuses it."""
         if self.settings_unusable or not 0 <= call.klass < len(self.settings.classes):
             if not self.unusable_logged:
-                self.actions.append(LogMessage("unusable settings or unknown call class: calls are refused"))
+                self.actions.append(LogMessage("settings are not fit to act on: calls are refused"))
             self.unusable_logged = True
             self.actions.append(RefuseCall(call.call, 0))
             return
@@ -446,10 +454,10 @@
             self.refuse(pending)
 
     def must_yield(self, pending: PendingCall) -> bool:
-        """Whether a call of low priority, such as a redial past its objective, yields to fresh calls.
+        """Whether the call is refused for its low priority, as that of a redial past its objective.
 
-        It does while a level is set or answers from its destination were late recently: its set-up would
-        take processor time that fresh calls need.
+        It is while a level is set or answers from its destination were late recently: its set-up would take
+        processor time that fresh calls need.
         """
         assert self.gate is not None
         exchange = self.active_exchanges.get(pending.call.dest)
@@ -459,10 +467,11 @@
         return busy and pending.priority < LOW_PRIORITY
 
     def record_and_prioritize(self, pending: PendingCall) -> float:
-        """The worth that the call may still earn, relative to the mean worth; to be called once per call.
+        """Records a new call and returns its priority: the worth that it may still earn, in mean worths.
 
-        A redial past the objective has the late worth of its class. Besides, this sets the end of the call's
-        objective, records when its number was first dialled, deletes old such records and moves the mean.
+        A redial past the objective has the late worth of its class. Recorded are the end of the call's
+        objective, the time at which its number was first dialled, and its worth in the mean; old times of
+        first dialling are deleted.
         """
         call = pending.call
         call_class = self.settings.classes[call.klass]
@@ -482,8 +491,9 @@
     def total_late(self, limit: float) -> int:
         """How many late set-ups were sent after the latest one that was answered in time.
 
-        Delay common to all exchanges is that of this agent's own processor. The method stops counting at
-        `limit` and looks only at exchanges with late set-ups, so that its cost stays bounded.
+        If no exchange answers in time, the delay is that of this agent's own processor. Failing exchanges are
+        left out. The method stops counting at `limit` and looks only at exchanges with aged attempts, so that
+        its cost stays bounded.
         """
         while self.recent_sends and self.recent_sends[0][0] <= self.now - self.delay_target_ns:
             sent, exchange, attempt = self.recent_sends.popleft()
@@ -507,7 +517,7 @@
         return max(self.delay_target_ns, int(exchange.min_delay * MIN_DELAY_FACTOR))
 
     def late_sent_until(self, exchange: FarExchange) -> int:
-        """A set-up sent up to this time and still unanswered is late."""
+        """The time up to which set-ups to this exchange were sent that are late if still unanswered."""
         return self.now - self.delay_limit(exchange)
 
     def route(self, pending: PendingCall) -> None:
@@ -534,7 +544,8 @@
     def schedule_retry(self, pending: PendingCall) -> bool:
         """Schedules a retry of a call to a failing destination, if the call can still stand in time.
 
-        Waiting costs no processor time, whereas a refused caller redials, and does so past the objective.
+        Returns whether it did. Waiting costs no processor time, whereas a refused caller redials, and does so
+        past the objective.
         """
         exchange = self.active_exchanges.get(pending.call.dest)
         assert self.gate is not None
@@ -556,6 +567,7 @@
         return True
 
     def apply_report(self, exchange: FarExchange, report: LoadReport) -> None:
+        """Stores a load report, taking this agent's rate of set-ups as that of each other agent."""
         exchange.apply_report(report, self.now, self.send_rate * (self.settings.agents - 1))
 
     def passes_throttle(self, exchange: FarExchange, pending: PendingCall) -> bool:
@@ -605,7 +617,7 @@
         return exchange if self.is_usable(exchange, pending, reserved) else None
 
     def alternative_route(self, pending: PendingCall) -> FarExchange | None:
-        """The tandem last used for the destination; if that is blocked, the advised one, else one drawn.
+        """The tandem last used for the destination; if it may not be used, the advised one, else one drawn.
 
         Where exchanges are pools, it is another pool instead of a tandem.
         """
@@ -629,10 +641,11 @@
         return chosen
 
     def bars_alternative_routes(self, dest: int) -> bool:
-        """Whether calls to the destination may not use a tandem, or another pool where exchanges are pools.
+        """Whether calls to the destination may go only direct, not by a tandem or to another pool.
 
         A call by a tandem is a third more work for all processors, so there is none while the gate throttles
-        or set-ups are late. Nor does a tandem help where the destination itself is failing, late or cold.
+        or set-ups are late. Nor does a tandem help where the destination itself is failing, late, or cold
+        and without budget.
         """
         assert self.gate is not None
         exchange = self.active_exchanges.get(dest)
@@ -646,7 +659,7 @@
         return self.gate.throttled or self.total_late(1) > 0
 
     def is_usable_alternative(self, exchange: FarExchange, pending: PendingCall) -> bool:
-        """Whether the tandem, or other pool, may be used.
+        """Whether the call may go by this exchange as its tandem, or to it as another pool.
 
         It must not be paused or have late set-ups, and must have circuits beyond the reserved ones.
         """
@@ -665,7 +678,7 @@
 
     @staticmethod
     def reserved_circuits(exchange: FarExchange, pending: PendingCall) -> float:
-        """Circuits reserved for direct calls; fewer against a high priority, which may be worth two calls."""
+        """Circuits that the call leaves free for direct calls; fewer if its priority is worth two of them."""
         return (
             TRUNK_RESERVATION_FACTOR
             * math.sqrt(exchange.group_size or 0.0)
@@ -719,7 +732,7 @@
         """How long to wait for an answer; while answers are being lost, short enough to allow a retry.
 
         Repeating a set-up that is only slow does the work twice, so the time is cut only when answers are
-        known to be lost, and when a further attempt is allowed and can still stand within the objective.
+        known to be lost, and when the call may be repeated and can still stand within its objective then.
         """
         assert self.gate is not None
         usual_delay = int(self.mean_delay_ns + DEVIATION_FACTOR * self.delay_deviation_ns)
@@ -741,9 +754,9 @@
         return self.now - self.last_losses[0] < LOSS_WINDOW_NS
 
     def lost_answer_allowance(self) -> int:
-        """Allowance for lost answers: 1 while answers are being lost, else 0.
+        """How many failures and late set-ups of one exchange are put down to lost answers and disregarded.
 
-        So many failures and late set-ups of one exchange are disregarded; the limit over all doubles.
+        It is 1 while answers are being lost, else 0. The limit on late set-ups over all exchanges doubles.
         """
         return 1 if self.answers_lost() else 0
 
@@ -788,7 +801,7 @@
             self.actions.append(RefuseCall(pending.call.call, self.retry_after(pending.call)))
 
     def retry_after(self, call: Call) -> int:
-        """Nanoseconds until a redial may succeed: until the next interval T or the end of a pause."""
+        """Nanoseconds until a redial may succeed: until the next T or the end of a pause, up to a limit."""
         assert self.gate is not None
         ends = [self.busy_numbers.get(call.key, (0, 0))[1]]
         if self.gate.throttled:
@@ -839,7 +852,7 @@
         if event.final:
             del self.pending_calls[event.call]
             return
-        # Any other outcome counts as possibly run, BUSY too, also where all lines of the number are busy.
+        # After any other outcome the attempt may have taken effect, also after BUSY with or without a cause.
         if (
             event.outcome not in (Outcome.FULL, Outcome.UNREACHED, Outcome.NOT_SENT)
             and pending.may_have_run_on is None
@@ -866,7 +879,7 @@
             self.refuse(pending)
 
     def on_attempt_failed(self, exchange: FarExchange, event: AttemptEnded) -> None:
-        """Pauses set-ups to an exchange that accepts none: it is full, unresponsive, down or unreachable."""
+        """Pauses an exchange that is full, unresponsive or unreachable, and a tandem after crankback."""
         if event.cause is Cause.DESTINATION_FULL:
             pending = self.pending_calls.get(event.call)
             destination = self.active_exchanges.get(pending.call.dest) if pending else None
@@ -893,7 +906,7 @@
         )
 
     def on_lines_busy(self, pending: PendingCall) -> None:
-        """Pauses calls to a number whose lines are busy; the pause doubles each time they are found busy."""
+        """Pauses calls to a number whose lines are busy; the pause doubles each time, up to a limit."""
         for key in [
             key
             for key, (_, end) in self.busy_numbers.items()
@@ -909,7 +922,7 @@
     def pause_tandem_on_crankback(self, event: AttemptEnded) -> None:
         """Pauses a tandem that had no onward circuit: each such attempt costs work on two processors.
 
-        Does nothing for other causes, as after a BUSY outcome.
+        Does nothing if the cause is not crankback.
         """
         pending = self.pending_calls.get(event.call)
         if pending is not None and event.cause is Cause.CRANKBACK:
@@ -924,7 +937,8 @@
     def may_reroute(event: AttemptEnded) -> bool:
         """Whether another set-up may succeed: not after busy lines or a full processor, whichever exchange's.
 
-        A BUSY outcome without a cause is a signalling fault, which says nothing of the next set-up.
+        It may after no connection, no circuit, crankback or a signalling fault, that is a BUSY outcome
+        without a cause, which says nothing of the next set-up.
         """
         if event.outcome is Outcome.UNREACHED or (event.outcome is Outcome.BUSY and event.cause is None):
             return True
@@ -933,7 +947,7 @@
     def await_release(self, pending: PendingCall) -> None:
         """Waits for the release, as the attempt may still occupy circuits (`release_first` in the trials).
 
-        The call ends instead if it is in transit or no time is left.
+        The call is refused or fails instead if it is in transit or no time is left.
         """
         pending.not_before_ns = self.now + self.settings.release_guard_ns
         if (
--- a/rowanmast/causes.py
+++ b/rowanmast/causes.py
@@ -11,10 +11,10 @@
 INTERWORKING = 127
 
 OUTCOME_BY_CAUSE = {  # releases before the answer; any other cause is CUT
-    34: api.Outcome.FULL,
-    17: api.Outcome.BUSY,
-    47: api.Outcome.BUSY,
-    102: api.Outcome.NOT_SENT,
+    34: api.Outcome.FULL,  # no circuit available
+    17: api.Outcome.BUSY,  # user busy
+    47: api.Outcome.BUSY,  # resource unavailable
+    102: api.Outcome.NOT_SENT,  # recovery on timer expiry
 }
 CAUSE_BY_NOTE = {
     "all_trunks_busy": api.Cause.NO_CIRCUIT,
--- a/rowanmast/interface.py
+++ b/rowanmast/interface.py
@@ -43,18 +43,19 @@
 
     DONE = "done"  # the call was answered and ended normally
     BUSY = "busy"  # all lines of the number are busy (cause LINES_BUSY), or a signalling fault (no cause)
-    FULL = "full"  # not set up: crankback, or a processor or a pool was full
+    FULL = "full"  # not set up: no circuit, crankback, or a full processor or pool
     TIMED_OUT = "timed out"  # no answer within the timeout of the set-up
     UNREACHED = "unreached"  # no connection to the exchange
     CUT = "cut"  # the connection or the call was broken off
-    CALLED_OFF = "called off"  # cancelled by this agent or its caller
-    NOT_SENT = "not sent"  # no circuit, own processor down, or the call was already over
+    CALLED_OFF = "called off"  # cancelled by this agent or its caller, or released by the caller
+    NOT_SENT = "not sent"  # no circuit, own processor down, call already over, or forbidden by a rule
 
 
 class Cause(Enum):
-    """Why an attempt was not set up, if the exchange states it."""
+    """Why an attempt was not set up, where it is known."""
 
-    NO_CIRCUIT = "no circuit"  # no circuit is free on the group to the exchange
+    # No circuit is free on the group to the exchange, or the process's share of a cold exchange is used up.
+    NO_CIRCUIT = "no circuit"
     CRANKBACK = "turned back"  # refused by the tandem, which has no onward circuit
     DESTINATION_FULL = "full beyond"  # refused by the tandem, as the destination's processor is full
     PROCESSOR_FULL = "processor full"  # of the exchange that the set-up was sent to
@@ -87,14 +88,12 @@
     agent_index: int  # of this agent, from 0
     own_exchange: int  # number of the exchange that the agent belongs to; -1 where exchanges are pools
     meshed: bool  # every exchange has a circuit group to every other; otherwise exchanges are pools
-    deadline_margin_ns: (
-        int  # (the platform's name) margin before deadlines, and first value of the mean answer delay
-    )
+    deadline_margin_ns: int  # margin before deadlines; also the first value of the mean answer delay
     classes: tuple[CallClass, ...]
-    overall_weight: float  # weight in the goal of all calls
-    worst_window_weight: float  # weight in the goal of the worst time window
-    worst_class_weight: float  # weight in the goal of the worst class
-    tenant_quotas: tuple[float, ...]  # calls per second within the share, by tenant
+    overall_weight: float  # weight of all calls in the goal
+    worst_window_weight: float  # weight of the worst time window in the goal
+    worst_class_weight: float  # weight of the worst class in the goal
+    tenant_quotas: tuple[float, ...]  # quota of each tenant, in calls per second
     over_share_worth: float  # worth of a call above its tenant's quota
     must_subscribe: bool  # the list is sent only after a subscription
     subscribe_within_ns: int  # time within which the agent has to subscribe
--- a/rowanmast/routes.py
+++ b/rowanmast/routes.py
@@ -1,4 +1,7 @@
-"""Parses the route of a set-up, such as dest:2;width:1;via:-1, as SIP and IAX2 callers send it."""
+"""Parses the route of a set-up, such as dest:2;width:1;via:-1, as SIP and IAX2 callers send it.
+
+Its integers are parsed by `parse_integer`, which SIP and HTTP headers use as well.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,9 @@
 
 
 def parse_integer(text: str) -> int:
-    """An integer of up to nine ASCII digits; `int` alone also accepts 1_000 and digits of any script.
+    """An integer of up to nine ASCII digits, possibly negative.
+
+    `int` alone also accepts 1_000 and digits of any script.
 
     Raises ValueError. Its text reaches IAX2 callers and HTTP clients, so it has to stay as it is.
     """
@@ -17,7 +22,7 @@
 
 
 def parse_route(text: str, redialled: bool = False) -> Route:
-    """Parses such a route; `redialled` if the protocol states that elsewhere.
+    """Parses a route; `redialled` tells that the set-up states a redial outside of its route.
 
     Raises ValueError. Its text reaches IAX2 callers in a REJECT, so it has to stay as it is.
     """
--- a/rowanmast/settings.py
+++ b/rowanmast/settings.py
@@ -1,6 +1,6 @@
 """Decodes settings and load reports from JSON, in the form that the simulator and the platform share.
 
-Values are checked for their type only: whatever is absent or not of the expected type counts as unknown.
+A number that is absent, negative or of another type counts as unknown. Load reports also come as text.
 """
 
 from __future__ import annotations
--- a/rowanmast/wirehost.py
+++ b/rowanmast/wirehost.py
@@ -1,8 +1,9 @@
 """Runs call agents under the simulator: translates its JSON lines to events and actions to JSON lines.
 
 Each input line is a batch of events, and each output line has the decisions on one batch. Only this module
-knows the simulator's protocol. Each instance has an agent of its own; instances share nothing but the
-numbered lists of exchanges, which the protocol defines once for all of them.
+knows the simulator's events and decisions; `settings` decodes the settings and load reports in them. Each
+instance has an agent of its own; instances share nothing but the numbered lists of exchanges, which the
+protocol defines once for all of them.
 """
 
 from __future__ import annotations
@@ -46,7 +47,7 @@
     4: api.Cause.LINES_BUSY,
     18: api.Cause.DESTINATION_FULL,
 }
-# Bits of the field `marks` of a call.
+# Bits of the field `marks` of a `demand` event.
 MARK_REDIALLED, MARK_TRANSIT, MARK_AGAIN = 2, 8, 16
 
 # Types of fields, as error messages name them.
@@ -257,7 +258,7 @@
         return json.dumps({"decisions": decisions}, separators=(",", ":"))
 
     def handle_event(self, now_ns: int, name: str, fields: Fields, decisions: list[Fields]) -> None:
-        """Handles one event and appends the decisions; an exception in an agent becomes a `give_in`."""
+        """Handles one event and appends the decisions; `give_in` reports an exception in an agent."""
         if name == "define_list":
             self.lists[fields["ref"]] = tuple(read_entry(line) for line in fields["lines"])
             return
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -59,7 +59,7 @@
     own_exchange=0,
     meshed=True,
     deadline_margin_ns=5 * MS,
-    classes=(PLAIN, VALUABLE, UNSAFE, KEYED),  # the field `klass` of a call is the index here
+    classes=(PLAIN, VALUABLE, UNSAFE, KEYED),  # 0 to 3, as the field `klass` of a call names them
     overall_weight=0.6,
     worst_window_weight=0.2,
     worst_class_weight=0.2,
@@ -135,7 +135,7 @@
 
 
 class AgentHarness:
-    """A call agent with five exchanges up, and its clock."""
+    """A call agent and its clock; the exchanges x0, the agent's own, to x4 are up."""
 
     def __init__(self, settings: Settings = SETTINGS, seed: int = 7) -> None:
         self.agent = CallAgent(settings, seed)
--- a/tests/test_call_agent.py
+++ b/tests/test_call_agent.py
@@ -1,4 +1,8 @@
-"""Single decisions of the call agent and its admission gate: a small test for each failure found."""
+"""Single decisions of the call agent and its admission gate: a small test for each failure found.
+
+The classes of calls are 0 plain, 1 valuable, 2 unsafe and 3 keyed (`SETTINGS` in `conftest.py`); the agent's
+own exchange is x0. The values of a `CallAnswered` are call, attempt, exchange and delay.
+"""
 
 from __future__ import annotations
 
@@ -203,6 +207,7 @@
 def test_a_redial_past_its_objective_has_the_late_worth() -> None:
     harness = AgentHarness()
     harness.complete_setup("a")
+    # A PendingCall of width 1, its deadline 0.
     fresh = harness.agent.record_and_prioritize(PendingCall(call("b", key="k"), 1, 0))
     harness.now += 3 * SECOND
     harness.agent.now = harness.now
@@ -227,7 +232,7 @@
     for index in range(20):
         sent += len(set_up_targets(harness.handle_after(MS, call(f"a{index}"))))
         harness.handle_after(10 * MS, CallAnswered(f"a{index}", 0, "x1", 10 * MS))
-    assert sent == 0  # the rate to warm ones is not known yet
+    assert sent == 0
 
 
 def test_a_retry_waits_for_the_release_and_a_timer_after_the_hang_up_is_ignored() -> None:
@@ -407,10 +412,11 @@
     harness = AgentHarness()
     harness.handle_after(0, call("a", key="k"))
     harness.handle_after(400 * MS, CallAnswered("a", 0, "x1", 400 * MS))
-    harness.complete_setup("q", 2)  # so the delay is that of the other exchange, not the own
+    harness.complete_setup("q", 2)  # in time, so the delay was that of x1 and not this agent's own
     harness.now += SECOND
     assert set_up_targets(harness.handle_after(0, call("b"))) == ["x1"]
     harness.handle_after(50 * MS, CallAnswered("b", 0, "x1", 50 * MS))
+    # k was dialled over 2 s ago, its objective. x1 was late under RECOVERY_NS ago, then no longer.
     assert set_up_targets(harness.handle_after(700 * MS, call("c", key="k"))) == []
     assert set_up_targets(harness.handle_after(SECOND, call("d", key="k"))) == ["x1"]
 
@@ -418,7 +424,7 @@
 def lose_answer(harness: AgentHarness, dest: int) -> None:
     """A set-up stays unanswered while a later one to the same exchange is answered."""
     harness.handle_after(0, call(f"lost {dest}", dest=dest))
-    # An answer in time from another exchange, of no pending call: the delay is not that of this agent.
+    # An answer in time from x4, to a call never placed: so the delay is not that of this agent.
     harness.handle_after(150 * MS, CallAnswered("x", 0, "x4", 50 * MS))
     harness.handle_after(60 * MS, call(f"later {dest}", dest=dest, klass=1))
     harness.handle_after(50 * MS, CallAnswered(f"later {dest}", 0, f"x{dest}", 50 * MS))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,11 @@
-"""Rules 1, 2, 3 and 5, and determinism, with random sequences of events."""
+"""The call agent keeps the rules, and is deterministic, with random sequences of events.
+
+Rule 1: each call gets one final answer, by its deadline and with no attempt in flight.
+Rule 2: one attempt of a call is in flight at a time; if it may have taken effect, an unsafe call is not
+repeated, and a keyed one only at the same exchange.
+Rule 3: an exchange that drains or is gone gets no set-up.
+Rule 5: a retry waits for the release of the last attempt.
+"""
 
 from __future__ import annotations
 
@@ -60,10 +67,10 @@
         self.call_count = 0
         self.unanswered: dict[str, int] = {}  # calls without a final answer: deadline
         self.answered: set[str] = set()
-        self.standing: dict[str, tuple[str, int]] = {}
+        self.standing: dict[str, tuple[str, int]] = {}  # exchange, number of the attempt
         self.in_flight: dict[str, tuple[str, int]] = {}  # attempts without an outcome: exchange, number
         self.attempts: dict[str, int] = {}
-        self.unsafe: set[str] = set()
+        self.unsafe: set[str] = set()  # keyed calls too
         self.keyed: set[str] = set()
         self.may_have_run: dict[str, str] = {}  # calls that may have taken effect: the first exchange
         self.released_at: dict[str, int] = {}
@@ -114,7 +121,7 @@
         name = f"c{self.call_count}"
         self.unanswered[name] = self.now + (amount + 20) * 10 * MS
         klass = pick % 4
-        if klass in (2, 3):
+        if klass in (2, 3):  # unsafe, keyed
             self.unsafe.add(name)
         if klass == 3:
             self.keyed.add(name)
