--- a/rowanmast/settings.py
+++ b/rowanmast/settings.py
@@ -1,6 +1,6 @@
 """Decodes settings and load reports from JSON, in the form that the simulator and the platform share.
 
-Values are checked for their type only: whatever is absent or not of the expected type counts as unknown.
+A number that is absent, negative or of another type counts as unknown. Load reports also come as text.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
         agent_index=get_integer(info, "my_number"),
         own_exchange=own if isinstance(own, int) else -1,
         meshed=family.get("network_form") != "groups",
-        period_ns=get_integer(info, "period_ns"),
+        deadline_margin_ns=get_integer(info, "period_ns"),
         classes=tuple(read_class(item, family, index) for index, item in enumerate(services or [])),
         overall_weight=optional_number(goal.get("whole")) or 0.0,
         worst_window_weight=optional_number(goal.get("worst_window")) or 0.0,
