--- a/rowanmast/call_agent.py
+++ b/rowanmast/call_agent.py
@@ -678,7 +678,10 @@
 
     @staticmethod
     def reserved_circuits(exchange: FarExchange, pending: PendingCall) -> float:
-        """Circuits that the call leaves free for direct calls; fewer if its priority is worth two of them."""
+        """Circuits that the call leaves free for direct calls: the higher its priority, the fewer.
+
+        A call of high priority may be worth two direct ones.
+        """
         return (
             TRUNK_RESERVATION_FACTOR
             * math.sqrt(exchange.group_size or 0.0)
