--- a/rowanmast/core/ledger.py
+++ b/rowanmast/core/ledger.py
@@ -243,7 +243,7 @@
         call = record.offer.call
         if self.records.get(call) is record and not record.has_final_answer:
             log.error("late_answer", extra={"call": call})
-            self.events.append(api.CallerHungUp(call))
+            self.events.append(api.CallerHungUp(call))  # makes the module drop the call
             self.finish_unanswered(record, Failure.GIVEN_UP)
 
     def purge_stale_timers(self) -> None:
@@ -285,7 +285,7 @@
             log.exception("call_fault", extra={"what": type(item).__name__, "call": call})
             record = self.records.get(call)
             if record is not None and not record.has_final_answer:
-                self.events.append(api.CallerHungUp(call))
+                self.events.append(api.CallerHungUp(call))  # makes the module drop the call
                 self.finish_unanswered(record, Failure.FAULT)
             return None
 
@@ -296,7 +296,7 @@
                 continue
             call_class = self.settings.classes[self.classes[record.offer.klass]]
             may_retry = call_class.idempotency is api.Idempotency.SAFE or record.attempt_count == 0
-            self.events.append(api.CallerHungUp(record.offer.call))
+            self.events.append(api.CallerHungUp(record.offer.call))  # makes the module drop the call
             self.finish_unanswered(record, SHUTDOWN_RETRY_AFTER_US if may_retry else Failure.GIVEN_UP)
 
     # Inputs from fronts
