--- a/rowanmast/call_agent.py
+++ b/rowanmast/call_agent.py
@@ -85,8 +85,8 @@
 MIN_TANDEM_PAUSE_HOLDS, MAX_TANDEM_PAUSE_HOLDS = 0.08, 0.67
 # First and longest pause of a number whose lines are all busy, in mean holding times.
 MIN_BUSY_PAUSE_HOLDS, MAX_BUSY_PAUSE_HOLDS = 0.02, 0.17
-# Longest pause before a set-up probes a failing exchange, for each agent of the network, as all of them
-# probe it.
+# The longest mean pause before a set-up probes a failing exchange is this times the number of agents of the
+# network, as all of them probe it. An exchange may ask for a longer pause.
 PAUSE_PER_AGENT_NS = 0.15 * SECOND
 LOSS_WINDOW_NS = 10 * SECOND  # two lost answers within this time mean that more are being lost
 DEVIATION_FACTOR = 2.0  # an answer usually comes within the mean delay plus this many mean deviations
@@ -256,16 +256,16 @@
         self.settings = settings
         self.random = Random(seed)
         self.exchanges: dict[str, FarExchange] = {}
-        self.active_exchanges: dict[int, FarExchange] = {}  # by number: those that accept new calls
+        self.active_exchanges: dict[int, FarExchange] = {}  # by exchange number: those that accept new calls
         self.active_list: list[FarExchange] = []  # the same as a list, to draw alternative routes from
         self.last_alternatives: dict[int, str] = {}  # by destination: the tandem or pool used last
         # By (tandem, destination): length and end of the pause after crankback.
         self.paused_tandems: dict[tuple[str, int], tuple[float, int]] = {}
         self.pending_calls: dict[str, PendingCall] = {}
         self.gate: AdmissionGate | None = None
-        # By number: when it was first dialled; a later call to it may be a redial.
+        # By number called: when it was first dialled; a later call to it may be a redial.
         self.first_dialled: OrderedDict[str, int] = OrderedDict()
-        # By number with all lines busy: length and end of the pause.
+        # By number called, if all its lines are busy: length and end of the pause.
         self.busy_numbers: dict[str, tuple[float, int]] = {}
         self.mean_worth = 0.0
         self.level_cut_at = 0  # when the gate's level was last cut
@@ -398,7 +398,7 @@
         """Whether the budget for cold exchanges allows a set-up to this one; always true for a warm one.
 
         The budget is this agent's share of what cold exchanges can take, estimated from the mean rate of
-        set-ups to one active exchange. With many agents the share of one cold exchange is less than one
+        set-ups to one active exchange. With many agents the part for one cold exchange is less than one
         set-up, so all exchanges that are cold at the time draw on one budget. It starts at a fraction given
         by the agent's index, so that the agents take turns.
         """
@@ -420,7 +420,8 @@
         )
         self.cold_budget_updated = self.now
         exchange.cold_send_times = [sent for sent in exchange.cold_send_times if self.now - sent < window]
-        # Besides, one exchange gets at most twice its own share: the budget is common to all cold exchanges.
+        # Besides, one exchange gets at most twice its own part, or one set-up if that is more: the budget is
+        # common to all cold exchanges.
         return self.cold_budget >= 1.0 and len(exchange.cold_send_times) < max(
             2 * rate_per_exchange * window, 1.0
         )
@@ -454,10 +455,10 @@
             self.refuse(pending)
 
     def must_yield(self, pending: PendingCall) -> bool:
-        """Whether the call is refused for its low priority, as that of a redial past its objective.
+        """Whether the call is refused for low priority, such as that of a redial past its objective.
 
-        It is while a level is set or answers from its destination were late recently: its set-up would take
-        processor time that fresh calls need.
+        That is so while a level is set or answers from its destination were late recently: its set-up would
+        take processor time that fresh calls need.
         """
         assert self.gate is not None
         exchange = self.active_exchanges.get(pending.call.dest)
@@ -517,7 +518,7 @@
         return max(self.delay_target_ns, int(exchange.min_delay * MIN_DELAY_FACTOR))
 
     def late_sent_until(self, exchange: FarExchange) -> int:
-        """The time up to which set-ups to this exchange were sent that are late if still unanswered."""
+        """An unanswered set-up to this exchange is late if it was sent at or before the returned time."""
         return self.now - self.delay_limit(exchange)
 
     def route(self, pending: PendingCall) -> None:
@@ -680,7 +681,8 @@
     def reserved_circuits(exchange: FarExchange, pending: PendingCall) -> float:
         """Circuits that the call leaves free for direct calls: the higher its priority, the fewer.
 
-        A call of high priority may be worth two direct ones.
+        A call of mean priority leaves TRUNK_RESERVATION_FACTOR times the square root of the group size. This
+        is divided by the priority, LOW_PRIORITY to MAX_PRIORITY: a call may be worth that many direct ones.
         """
         return (
             TRUNK_RESERVATION_FACTOR
@@ -764,15 +766,15 @@
         return 1 if self.answers_lost() else 0
 
     def detect_losses(self, exchange: FarExchange, sent: int) -> None:
-        """Treats direct set-ups that were sent well before one now answered as lost.
+        """Takes unanswered direct set-ups sent well before the one now answered to be lost.
 
         An exchange answers in the order of arrival, so an answer overtaken by a later one is lost. Such a
         set-up shows nothing of the exchange's delay and no longer counts as unanswered. "Well before" must
-        be more than jitter accounts for; the delay of the quickest answer serves as this margin. By the time
-        that a lost set-up would count as late, set-ups sent after it have shown the loss.
+        be more than jitter accounts for; the delay of the quickest answer serves as this margin. As a rule,
+        answers to later set-ups show the loss before the lost one would count as late.
         """
         margin = min(exchange.min_delay or self.delay_target_ns, self.delay_target_ns)
-        # A set-up that timed out within the loss window before this answer had its answer lost, too.
+        # If a set-up to this exchange timed out in the last LOSS_WINDOW_NS, its answer was lost, too.
         lost = exchange.last_timeout > self.now - LOSS_WINDOW_NS
         exchange.last_timeout = -LOSS_WINDOW_NS
         for (call, attempt), _ in list(
@@ -817,7 +819,7 @@
     # Outcomes
 
     def on_answered(self, event: CallAnswered) -> None:
-        """Ends the pending call and updates the delays of the exchange that answered."""
+        """Deletes the call's pending record; updates the delays and losses of the exchange that answered."""
         pending = self.pending_calls.pop(event.call, None)
         if pending is not None:
             self.paused_tandems.pop((event.exchange, pending.call.dest), None)
@@ -855,7 +857,8 @@
         if event.final:
             del self.pending_calls[event.call]
             return
-        # After any other outcome the attempt may have taken effect, also after BUSY with or without a cause.
+        # FULL, UNREACHED and NOT_SENT show that the attempt took no effect. After any other outcome, BUSY
+        # with or without a cause included, it may have taken effect.
         if (
             event.outcome not in (Outcome.FULL, Outcome.UNREACHED, Outcome.NOT_SENT)
             and pending.may_have_run_on is None
--- a/rowanmast/core/coldshare.py
+++ b/rowanmast/core/coldshare.py
@@ -3,10 +3,10 @@
 The decision module limits a router's set-ups to a cold switch (one that has just started) to a share that it
 derives from the router's mean rate of set-ups to one switch. Several routers in one process take the place of
 one, so together they may send a cold switch no more than one router would. Separate limits would exceed that:
-each router rounds its share up to a whole set-up, and each starts its count from zero. Hence one common
-account: the combined rate to one switch, one credit for all cold switches, and a window of recent set-ups for
-each cold switch. A router that had more of the window leaves a credit for one that was denied, so that a busy
-router can't starve the others.
+each router rounds its share up to a whole set-up, and each counts only the set-ups in its own window. Hence
+one common account: the combined rate to one switch, one credit for all cold switches, and a window of recent
+set-ups for each cold switch. A router that has sent more in the window than one that was denied leaves credit
+for one set-up to it, so that a busy router can't starve the others.
 
 Times are microseconds of the monotonic clock, passed in by the caller; the module has no clock, I/O or
 randomness. The routers run on threads of their own, so each request takes a lock.
@@ -44,7 +44,7 @@
             del self.denied[name]
 
     def has_underserved_router(self, name: str) -> bool:
-        """Whether another router was denied that sent fewer set-ups in the window than this one."""
+        """Whether a router that has sent fewer set-ups in the window than this one was denied one."""
         sent_by = Counter(sender for _, sender in self.sent)
         return any(sent_by[other] < sent_by[name] for other in self.denied if other != name)
 
--- a/rowanmast/core/ledger.py
+++ b/rowanmast/core/ledger.py
@@ -609,8 +609,8 @@
     def try_acquire_cold_share(self, exchange: str) -> bool:
         """Whether the routers of this process may together send this set-up; if so, it is counted.
 
-        Only set-ups to cold switches are limited. The last argument is the number of other exchanges: the
-        listed ones without the router's own.
+        Only set-ups to cold switches are limited. The rate to one switch is the combined rate divided by
+        the number of other exchanges: the listed ones without the router's own.
         """
         if self.cold_share is None:
             return True
--- a/rowanmast/embed/router.py
+++ b/rowanmast/embed/router.py
@@ -157,7 +157,7 @@
                 self.enqueue(call, cause)
 
     def reference_lost(self, call: str) -> None:
-        """May run wherever the interpreter drops the last reference, so it only queues a command."""
+        """May run wherever the interpreter drops the last reference, so it only logs and queues a command."""
         if os.getpid() == self.owner_pid and call in self.calls:
             log.warning("call_dropped", extra={"call": call})
             self.end_call(call, NORMAL_CLEARING)
@@ -568,10 +568,11 @@
 
 
 class ForkHandler:
-    """Closes the copies of the router's open sockets in a forked child, which has no thread to serve them.
+    """In a forked child, resolves pending futures and closes the copied sockets that `transports` yields.
 
-    Otherwise peers would not see the connections end when the parent closes them. Only the descriptors are
-    closed: any other operation on the copied loop would affect the parent's epoll set.
+    The child has no thread to serve them. If the sockets stayed open, peers would not see the connections end
+    when the parent closes them. Only the descriptors are closed: any other operation on the copied loop would
+    affect the parent's epoll set.
     """
 
     def __init__(self, embedded: EmbeddedRouter) -> None:
@@ -591,7 +592,8 @@
 def transports(router: Router) -> Iterator[asyncio.BaseTransport]:
     """The transports to listed switches and of IAX2, which peers would see as open if a child kept them.
 
-    Connections that are still being opened (KNOWN-RED.txt) and retired ones are missing here.
+    Not included: connections that are still being opened (a known fault, see KNOWN-RED.txt), retired ones and
+    those to switches that are no longer listed.
     """
     for link in router.listed_links.values():
         for connection in getattr(link, "connections", ()):
--- a/rowanmast/iax2/session.py
+++ b/rowanmast/iax2/session.py
@@ -1,4 +1,4 @@
-"""The reliable exchange of full frames in one IAX2 call (RFC 5456, section 7); does no I/O.
+"""The reliable transfer of full frames in one IAX2 call (RFC 5456, section 7); does no I/O.
 
 Frames are numbered, acknowledged, retransmitted a limited number of times, and delivered once and in order.
 Times are microseconds.
@@ -123,7 +123,7 @@
     # Timers
 
     def run_timers(self, now: int) -> bool:
-        """Sends due retransmissions and PINGs; False once the remote side is taken to be unresponsive."""
+        """Sends due retransmissions and PINGs; False when it gives up on an unresponsive remote side."""
         if self.unacked and now >= self.retransmit_at:
             if self.retransmits == MAX_RETRANSMITS:
                 self.unacked.clear()
--- a/rowanmast/liveness/machine.py
+++ b/rowanmast/liveness/machine.py
@@ -21,7 +21,8 @@
 CONNECTION_PROBE_IDLE_US = 4_500_000  # silence of a connection that carries calls after which it is probed
 PROBE_TIMEOUT_US = 1_000_000  # a connection that has not answered a probe by then is unresponsive
 LEASE_US = 7_000_000  # since the last data from an incarnation; leaves 1 s of the 8 s to notify callers
-# Once discovery has removed the switch, silent connections are probed and calls are given up sooner.
+# Once the switch is removed, that is, no longer listed in the change log, silent connections are probed and
+# calls are given up sooner.
 REMOVED_PROBE_IDLE_US = 500_000
 REMOVED_LEASE_US = 2_500_000
 REMOVED_GRACE_US = 1_000_000  # minimum time after the removal in which the switch may answer a probe
@@ -79,7 +80,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceConnection:
-    """This connection is unresponsive: send nothing more on it and open another one."""
+    """This connection is unresponsive: send no more set-ups or releases on it, and open another if allowed.
+
+    The link closes it, or keeps it if it is the only one that leads to a process with calls.
+    """
 
     connection: int
 
@@ -103,7 +107,7 @@
         The calls of an incarnation are then given up only after all its connections are lost.
         """
         self.may_probe = may_probe
-        self.removed_at: int | None = None  # when discovery removed the switch; None while it is listed
+        self.removed_at: int | None = None  # when the switch was removed; None while it is listed
         self.connections: dict[int, ConnectionState] = {}
         self.incarnations: list[Incarnation] = []  # those with connections or calls
         self.by_call: dict[str, Incarnation] = {}  # the incarnation at which each call stands
@@ -159,11 +163,11 @@
         return True
 
     def switch_removed(self, now: int) -> None:
-        """Discovery has removed the switch: shorter probe intervals and leases apply."""
+        """The switch is no longer listed: shorter probe intervals and leases apply."""
         self.removed_at = now
 
     def switch_restored(self) -> None:
-        """Discovery lists the switch again."""
+        """The switch is listed again."""
         self.removed_at = None
 
     def end_all_calls(self) -> tuple[str, ...]:
--- a/rowanmast/net/peers.py
+++ b/rowanmast/net/peers.py
@@ -88,7 +88,7 @@
         self.load_probed_at: int | None = None
         self.liveness_timer: asyncio.TimerHandle | None = None
         self.verify_started_at = 0  # when the connections that carry calls were last probed by `verify_alive`
-        # Set once discovery has removed the switch; called when the link is closed.
+        # Set while the switch is not listed; called, once no call stands there, after closing the link.
         self.on_removal_done: Callable[[], None] | None = None
         self.closed = False
         self.last_connection_number = 0  # connections are numbered in the order in which they open
@@ -139,7 +139,10 @@
     # Standing calls
 
     def verify_alive(self) -> None:
-        """Probes the connections that carry calls; `survives_restart` is true once all have responded."""
+        """Probes the connections that carry calls.
+
+        `survives_restart` is then true once every process with calls has sent data, on any connection.
+        """
         self.verify_started_at = now_us()
         self.execute(self.liveness.probe_all(self.verify_started_at))
 
@@ -298,9 +301,10 @@
             connection.close()
 
     def retire(self, connection: SwitchConnection) -> None:
-        """Sends no more set-ups or releases on the connection, but keeps it open.
+        """Cancels the set-ups in flight on the connection and sends no more on it, but keeps it open.
 
-        The switch may still release standing calls on it.
+        Releases are sent on another connection, or queued until one is open. The switch may still release
+        standing calls on this one, which also carries probes and the replies to the switch.
         """
         self.connections.remove(connection)
         self.retired.append(connection)
@@ -438,10 +442,11 @@
     # Removal and close
 
     def remove(self, on_removal_done: Callable[[], None]) -> None:
-        """Discovery has removed the switch.
+        """The switch is no longer listed in the change log.
 
         Standing calls remain until they are released, their lease expires or the last connection is lost.
-        `on_removal_done` is called once, when the link is closed.
+        Once no call stands there, the link is closed and `on_removal_done` is called; `abandon` and a plain
+        `close` don't call it.
         """
         self.on_removal_done = on_removal_done
         self.liveness.switch_removed(now_us())
@@ -453,7 +458,7 @@
             self.close_unneeded()
 
     def restore(self) -> None:
-        """Discovery lists the switch again before its link was closed."""
+        """The switch is listed again before its link was closed."""
         self.on_removal_done = None
         self.liveness.switch_restored()
         self.connect()
--- a/rowanmast/trials/rule_checker.py
+++ b/rowanmast/trials/rule_checker.py
@@ -27,9 +27,9 @@
 
     ONE_ANSWER = "one_answer"  # a call gets a single final answer
     ANSWER_IN_TIME = "answer_in_time"  # within the time that the caller allows, plus ANSWER_GRACE_S
-    # The description is one that a switch gave for the call; also: each set-up is one that a caller sent.
+    # An answer's description is one that a switch gave for the call; also: a caller sent each set-up.
     ANSWER_FROM_SWITCH = "answer_from_switch"
-    ONE_ATTEMPT_OUT = "one_attempt_out"  # no attempt while another one is out or the call stands
+    ONE_ATTEMPT_OUT = "one_attempt_out"  # no attempt while another one is in flight or the call stands
     RELEASE_FIRST = "release_first"  # no attempt within RELEASE_GUARD_S of one whose end is unconfirmed
     ATTEMPTS = "attempts"  # at most MAX_ATTEMPTS for a call
     DRAIN = "drain"  # no set-up to a draining or removed switch after DRAIN_GRACE_S
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -95,7 +95,15 @@
 class AssertingRuleChecker:
     """Asserts the protocol's rules from both ends: what callers receive and what reaches switches.
 
-    Calls are identified by the number called, which every protocol carries; times are seconds on one clock.
+    A call's key on sockets is the number called, which every protocol carries; at `CheckedFront` and
+    `CheckedLink` it is the call id. Times are seconds on one clock. The messages name these rules by number:
+
+    1. A call that is offered gets exactly one answer, by its deadline, and no attempt after the answer. If
+       the caller has cancelled the set-up, the answer may be late or missing.
+    2. A call has at most one attempt in flight.
+    3. An exchange that drains gets no set-up later than 2 s after it began to drain.
+    5. No attempt starts within the release guard time after an attempt or call of the same key that ended at
+       its switch without confirmation.
     """
 
     def __init__(self, clock: Callable[[], float], release_guard_s: float, tolerance_s: float = 0.0) -> None:
@@ -105,11 +113,11 @@
         self.deadlines: dict[str, float] = {}
         self.final_answers: dict[str, str] = {}
         self.cancelled: set[str] = set()
-        self.in_flight: dict[str, str] = {}  # call: exchange of its current attempt
+        self.in_flight: dict[str, str] = {}  # key: exchange of the call's current attempt
         self.attempts: dict[str, int] = {}
         self.retry_not_before: dict[str, float] = {}
         self.draining_since: dict[str, float] = {}
-        self.standing: dict[str, str] = {}  # call: exchange at which it stands
+        self.standing: dict[str, str] = {}  # key: exchange at which the call stands
         self.release_sent_at: dict[str, float] = {}  # by a switch, and not yet received by the caller
 
     # Events at callers
